--- a/control/_fixtures.ts
+++ b/control/_fixtures.ts
@@ -22,7 +22,7 @@
 import { buildQueue, buildWorkerReport, POOL } from "../dispatch/_fixtures.ts";
 import type { LookAnswer, LookOrder, OrderAnswer } from "../dispatch/mod.ts";
 import { FrontDaemon } from "../front/mod.ts";
-import { Ledger, type WorkerId } from "../job/mod.ts";
+import { StateStore, type WorkerId } from "../job/mod.ts";
 import type { ConsensusTimings } from "../log/mod.ts";
 import { TaskWorker } from "../standin/task_worker.ts";
 import type { WorkerCalls } from "./calls.ts";
@@ -208,7 +208,7 @@
     readonly leadership: Leadership;
     readonly sink: LogSink;
 } {
-    const durable = new Ledger();
+    const durable = new StateStore();
     const configuration = { ...buildConfiguration(1), queues: [buildQueue()] };
     const worker = buildWorkerReport();
     durable.apply({
--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -17,7 +17,7 @@
 import { checkConfiguration, findQueue, type Configuration } from "../configuration/mod.ts";
 import { isSameReport, type DispatchLimits, type LaneId } from "../dispatch/mod.ts";
 import { CellClock, GroupMember, PeerNetwork, type PeerEnvelope } from "../group/mod.ts";
-import { Ledger, type FactBatch, type JobId, type WorkerId } from "../job/mod.ts";
+import { StateStore, type FactBatch, type JobId, type WorkerId } from "../job/mod.ts";
 import {
     OutcomeUnknownError,
     type ConsensusTimings,
@@ -113,7 +113,7 @@
 export class ControlDaemon {
     readonly #options: ControlDaemonOptions;
     readonly #self: EntryId;
-    readonly #durable = new Ledger();
+    readonly #durable = new StateStore();
     readonly #states = new StateReader(this.#durable);
     readonly #clock = new CellClock();
     readonly #guard: ClockGuard;
@@ -436,7 +436,7 @@
         if (replica === undefined) {
             return;
         }
-        this.#clock.start(this.#durable.at);
+        this.#clock.start(this.#durable.lastBatchAtMs);
         this.#roster.startLeading(performance.now());
         this.#options.log.notice("lead gained", {
             term: replica.term,
--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -29,7 +29,7 @@
 } from "../dispatch/mod.ts";
 import {
     isJobId,
-    type Ledger,
+    type StateStore,
     type Fact,
     type FactBatch,
     type JobId,
@@ -54,7 +54,7 @@
 /** Options of {@link Leadership}. */
 export interface LeadershipOptions {
     /** The state that a quorum holds. */
-    readonly durable: Ledger;
+    readonly durable: StateStore;
     /** Answers for the states of jobs in it. */
     readonly states: StateReader;
     /** Has a batch agreed on; rejects when this process leads no more. */
@@ -218,7 +218,7 @@
         await this.#ensureDurable(() => {
             const known = durable.workers.get(record.id);
             const isRecorded = known !== undefined && (known.isDraining || !record.isDraining);
-            return isRecorded || durable.isGone(record.id);
+            return isRecorded || durable.isRemovedWorker(record.id);
         });
     }
 
--- a/control/state_reader.ts
+++ b/control/state_reader.ts
@@ -14,7 +14,7 @@
  * @module
  */
 
-import type { Job, JobId, Ledger } from "../job/mod.ts";
+import type { Job, JobId, StateStore } from "../job/mod.ts";
 import type { CallerAnswer } from "./calls.ts";
 
 /**
@@ -39,7 +39,7 @@
 
 /** Reads of one replica. */
 export class StateReader {
-    readonly #ledger: Ledger;
+    readonly #ledger: StateStore;
     readonly #holdMs: number;
     readonly #waiters = new Set<Waiter>();
 
@@ -47,7 +47,7 @@
      * @param ledger The replica.
      * @param options How long a question waits.
      */
-    constructor(ledger: Ledger, options: StateReaderOptions = {}) {
+    constructor(ledger: StateStore, options: StateReaderOptions = {}) {
         this.#ledger = ledger;
         this.#holdMs = options.holdMs ?? DEFAULT_HOLD_MS;
     }
--- a/control/state_reader_test.ts
+++ b/control/state_reader_test.ts
@@ -1,13 +1,13 @@
 import test from "ava";
 import { buildSpec, POOL, QUEUE } from "../dispatch/_fixtures.ts";
-import { Ledger, type Fact, type JobId, type JobSpec, type WorkerId } from "../job/mod.ts";
+import { StateStore, type Fact, type JobId, type JobSpec, type WorkerId } from "../job/mod.ts";
 import { StateReader } from "./state_reader.ts";
 
 const JOB = "00000000000000a1" as JobId;
 const HOLD_MS = 300;
 
-function buildRunning(spec: JobSpec): { ledger: Ledger; reader: StateReader } {
-    const ledger = new Ledger();
+function buildRunning(spec: JobSpec): { ledger: StateStore; reader: StateReader } {
+    const ledger = new StateStore();
     const unit = { job: JOB, occurrence: 0, step: 0, unit: 0 };
     const members = [[0, "w1" as WorkerId]] as const;
     applyFact(ledger, { type: "jobAccepted", job: JOB, queue: QUEUE, pool: POOL, spec });
@@ -15,11 +15,11 @@
     return { ledger, reader: new StateReader(ledger, { holdMs: HOLD_MS }) };
 }
 
-function applyFact(ledger: Ledger, fact: Fact): void {
+function applyFact(ledger: StateStore, fact: Fact): void {
     ledger.apply({ at: 0, facts: [fact] });
 }
 
-function endTask(ledger: Ledger): void {
+function endTask(ledger: StateStore): void {
     const unit = { job: JOB, occurrence: 0, step: 0, unit: 0 };
     applyFact(ledger, {
         type: "memberEnded",
--- a/dispatch/_attempts.ts
+++ b/dispatch/_attempts.ts
@@ -14,7 +14,7 @@
 
 import {
     formatTaskName,
-    type EndKind,
+    type MemberOutcome,
     type Job,
     type StepSpec,
     type Resources,
@@ -30,7 +30,7 @@
 /** Times that a start is sent before the worker counts as silent. */
 export const MAX_START_TRIES = 3;
 /** Ends that somebody may have to explain. */
-const FAILED_ENDS: ReadonlySet<EndKind> = new Set([
+const FAILED_ENDS: ReadonlySet<MemberOutcome> = new Set([
     "failed",
     "lapsed",
     "broken",
@@ -170,7 +170,7 @@
      * @param how How it ended.
      * @param checkpoint Its newest checkpoint; empty when there is none.
      */
-    endMember(member: MemberRun, how: EndKind, checkpoint: string): void {
+    endMember(member: MemberRun, how: MemberOutcome, checkpoint: string): void {
         if (this.findActive(member) === undefined && how !== "lost") {
             return;
         }
--- a/dispatch/_context.ts
+++ b/dispatch/_context.ts
@@ -13,7 +13,7 @@
  */
 
 import type { QueueConfig, QueueName } from "../configuration/mod.ts";
-import type { Fact, Ledger } from "../job/mod.ts";
+import type { Fact, StateStore } from "../job/mod.ts";
 import { AdviceDesk } from "./advice_desk.ts";
 import { GoodShares } from "./advice_plan.ts";
 import { StepBoard } from "./step_board.ts";
@@ -23,7 +23,7 @@
 /** Options of {@link DispatchContext}. */
 export interface DispatchContextOptions {
     /** The state to decide on; facts are applied to it at once. */
-    readonly ledger: Ledger;
+    readonly ledger: StateStore;
     readonly clock: DispatchClock;
     /** Above every fence of earlier leaders. */
     readonly firstFence: number;
@@ -49,7 +49,7 @@
 
 /** Shared state of one leader's decisions. */
 export class DispatchContext {
-    readonly ledger: Ledger;
+    readonly ledger: StateStore;
     readonly clock: DispatchClock;
     readonly limits: DispatchLimits;
     readonly book: WorkerBook;
--- a/dispatch/_fixtures.ts
+++ b/dispatch/_fixtures.ts
@@ -16,8 +16,8 @@
 
 import type { QueueConfig, QueueName } from "../configuration/mod.ts";
 import {
-    Ledger,
-    type EndKind,
+    StateStore,
+    type MemberOutcome,
     type Fact,
     type JobId,
     type JobSpec,
@@ -65,7 +65,7 @@
     readonly queues?: readonly QueueConfig[];
     /** Decides whether an order is lost on its way, carried out late, or both ways fine. */
     readonly getFault?: (kind: "start" | "stop" | "look", worker: WorkerId) => OrderFault;
-    readonly getEnd?: (task: string, worker: WorkerId) => EndKind;
+    readonly getEnd?: (task: string, worker: WorkerId) => MemberOutcome;
     /** How long after its start a task ends its worker, in ms; `undefined` for one that does not. */
     readonly getCrashAfterMs?: (task: string, worker: WorkerId) => number | undefined;
     /** After a crash the next incarnation joins at the same address after this, in ms. */
@@ -91,7 +91,7 @@
 /** The floor. */
 export class FloorFixture {
     readonly #options: FloorOptions;
-    readonly durable = new Ledger();
+    readonly durable = new StateStore();
     readonly workers = new Map<WorkerId, TaskWorker>();
     /** Every pace order: task, percent. */
     readonly paces: { task: string; percent: number; at: number }[] = [];
--- a/dispatch/_worker_losses.ts
+++ b/dispatch/_worker_losses.ts
@@ -57,7 +57,7 @@
     replaceWorker(worker: WorkerState): void {
         const { id, address, isDraining } = worker.record;
         const { book, clock } = this.#context;
-        const lapsed = this.#context.ledger.lapses.get(id) ?? [];
+        const lapsed = this.#context.ledger.attemptsOnExpiredLeases.get(id) ?? [];
         const under = isDraining
             ? []
             : [...lapsed, ...computeEvidence([...worker.members.values()])];
@@ -97,7 +97,7 @@
      * @param id The worker.
      */
     clearLapse(id: WorkerId): void {
-        if (this.#context.ledger.lapses.has(id)) {
+        if (this.#context.ledger.attemptsOnExpiredLeases.has(id)) {
             this.#context.record({ type: "workerAnswered", worker: id });
         }
     }
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -214,7 +214,7 @@
      */
     handleHeartbeat(heartbeat: Heartbeat): void {
         const { record, sequence, clockMs, leavesInMs } = heartbeat;
-        if (this.#context.ledger.isGone(record.id)) {
+        if (this.#context.ledger.isRemovedWorker(record.id)) {
             return;
         }
         const now = this.#context.clock.getNow();
@@ -363,7 +363,7 @@
             worker.inheritedLeaseEndsAt =
                 now + this.#context.limits.leaseMs * INHERITED_LEASE_FACTOR;
             worker.isSuspect = true;
-            const clockMs = this.#context.ledger.reports.get(record.id);
+            const clockMs = this.#context.ledger.lastReportClocksMs.get(record.id);
             worker.report = { arrivedAt: Number.NEGATIVE_INFINITY, clockMs };
         }
     }
--- a/dispatch/step_board.ts
+++ b/dispatch/step_board.ts
@@ -18,7 +18,7 @@
     isStepDone,
     type Job,
     type JobId,
-    type Ledger,
+    type StateStore,
     type StepSpec,
     type UnitRef,
     type WorkerId,
@@ -73,7 +73,7 @@
 
 /** Options of {@link StepBoard}. */
 export interface StepBoardOptions {
-    readonly ledger: Ledger;
+    readonly ledger: StateStore;
     readonly clock: DispatchClock;
 }
 
@@ -84,7 +84,7 @@
 
 /** Ready steps by key, and occurrences that are not due yet. */
 export class StepBoard {
-    readonly #ledger: Ledger;
+    readonly #ledger: StateStore;
     readonly #clock: DispatchClock;
     readonly #steps = new Map<StepKey, StepWork>();
     readonly #byJob = new Map<JobId, Set<StepKey>>();
--- a/dispatch/types.ts
+++ b/dispatch/types.ts
@@ -13,7 +13,7 @@
 import type { AdvicePolicy, QueueName } from "../configuration/mod.ts";
 import type { Brand } from "../inventory/mod.ts";
 import type {
-    EndKind,
+    MemberOutcome,
     Fact,
     Resources,
     TaskName,
@@ -166,7 +166,7 @@
     readonly number: number;
     readonly task: string;
     readonly attempt: number;
-    readonly how: EndKind;
+    readonly how: MemberOutcome;
     readonly checkpoint: string;
 }
 
--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -47,7 +47,7 @@
     startRpcServer,
     type RpcServer,
 } from "../rpc/mod.ts";
-import { LEADER_SILENCE_MS, Reach } from "./reach.ts";
+import { LEADER_SILENCE_MS, LeaderReachability } from "./leader_reachability.ts";
 
 /** Options of {@link FrontDaemon}. */
 export interface FrontDaemonOptions {
@@ -64,7 +64,7 @@
 }
 
 /** What became of a call. */
-export type FrontOutcome =
+export type CallOutcome =
     | CallerAnswer
     /** No leader answered in time; whether the call was carried out is not known. */
     | { readonly type: "unknown"; readonly retryAfterMs: number }
@@ -72,71 +72,71 @@
     | { readonly type: "unreached"; readonly retryAfterMs: number };
 
 /** Time between two greetings to the leader, in ms. */
-const HELLO_MS = 400;
+const HELLO_INTERVAL_MS = 400;
 /** A greeting is given up after this, in ms, so that a lost leader is noticed soon. */
-const HELLO_BUDGET_MS = 1_000;
+const HELLO_TIMEOUT_MS = 1_000;
 /**
  * Without a leader's answer for this long the front is not ready, in ms: a greeting's interval and what an answer
  * takes. The balancer moves callers after two failed checks a second apart: an election (below 0.6 s)
  * moves nobody, a zone that is cut off sends its callers to others 2 to 3.3 s after the cut.
  */
-const READY_SILENCE_MS = 600;
+const MAX_READY_SILENCE_MS = 600;
 /**
  * How long a call waits on a front that is cut off, in ms: a caller that is sent away at once has two or
  * three more tries within its deadline of some seconds; one that is held for 1.6 s has one at most.
  */
-const CUT_OFF_BUDGET_MS = 250;
+const ISOLATED_CALL_TIMEOUT_MS = 250;
 /**
  * The balancer has moved callers this long after the leader was heard last, in ms: it moves them once the last front
  * of the zone has failed two checks a second apart.
  */
-const MOVED_AFTER_MS = READY_SILENCE_MS + 2_700;
+const BALANCER_FAILOVER_MS = MAX_READY_SILENCE_MS + 2_700;
 /**
  * When a caller should come back before that, in ms. It has a few retries: sent back at once it spent four of them
  * within half a second on the same front, and its job was refused for good; a second apart they outlast the move.
  */
-const NOT_MOVED_RETRY_MS = 1_000;
+const BEFORE_FAILOVER_RETRY_MS = 1_000;
 /** Time between two questions to the other fronts while no leader is heard, in ms. */
-const REACH_MS = 100;
+const REACHABILITY_CHECK_INTERVAL_MS = 100;
 /** A front that does not answer by then is not reached, in ms: the way takes some ms. */
-const REACH_TIMEOUT_MS = 250;
+const PEER_PROBE_TIMEOUT_MS = 250;
 /**
  * How long a question about a whole queue may take, in ms. Held through an outage it would be answered by
  * a configuration that came into force long after it was asked, next to later questions that were
  * answered by the one before: to an observer this front goes back to an older configuration. A
  * question about a job is held, because its caller needs that answer.
  */
-const COUNT_BUDGET_MS = 200;
+const QUEUE_QUERY_TIMEOUT_MS = 200;
 /** Pause after a relay that failed, and time kept for its way back, in ms. */
-const RELAY_PAUSE_MS = 60;
+const RELAY_BACKOFF_MS = 60;
 /** The addresses of other fronts are asked for this often, in ms; they matter for seconds at a time. */
-const PEERS_EVERY_MS = 5_000;
+const PEERS_REFRESH_INTERVAL_MS = 5_000;
 /**
  * A replica that does not answer a question about a state by then is not waited for, in ms: it may
  * hold one for 200.
  */
-const READER_TIMEOUT_MS = 500;
+const REPLICA_READ_TIMEOUT_MS = 500;
 /** When to come back while no leader can be reached, in ms: about one election. */
-const RETRY_AFTER_MS = 1_000;
+const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 /** One front instance. */
 export class FrontDaemon {
     readonly #options: FrontDaemonOptions;
     readonly #router: LeaderRouter;
     #server: RpcServer | undefined;
-    readonly #reach: Reach;
-    readonly #peerClients = new RpcClientPool({ timeoutMs: REACH_TIMEOUT_MS });
-    #greetings: Subscription | undefined;
-    #probes: Subscription | undefined;
-    #isGreeting = false;
-    #peersAskedAt = Number.NEGATIVE_INFINITY;
-    #isStopping = false;
+    readonly #reachability: LeaderReachability;
+    readonly #peerClients = new RpcClientPool({ timeoutMs: PEER_PROBE_TIMEOUT_MS });
+    #helloTimer: Subscription | undefined;
+    #reachabilityTimer: Subscription | undefined;
+    #isSendingHello = false;
+    #peersReceivedAtMs = Number.NEGATIVE_INFINITY;
+    #isDraining = false;
     #limits: HelloLimits | undefined;
     /** The leader that answered the last greeting, by its own word. */
-    #leader = "";
-    readonly #readerClients = new RpcClientPool({ timeoutMs: READER_TIMEOUT_MS });
-    #readers: readonly string[] = [];
-    #nextReader = 0;
+    #leaderAddress = "";
+    readonly #replicaClients = new RpcClientPool({ timeoutMs: REPLICA_READ_TIMEOUT_MS });
+    #replicas: readonly string[] = [];
+    #nextReplica = 0;
 
     /**
      * @param options Addresses, seeds, the advice service; see {@link FrontDaemonOptions}.
@@ -147,11 +147,11 @@
             listSeeds: options.listSeeds,
             silenceMs: selectSilenceMs(options.tolerated ?? 1),
         });
-        this.#reach = new Reach({
+        this.#reachability = new LeaderReachability({
             zone: options.zone,
             probe: (address) =>
                 this.#peerClients.getClient(address).call<ReachAnswer>(METHODS.reach, {}),
-            canConnect: (address) => isListening(address, REACH_TIMEOUT_MS),
+            canConnect: (address) => isListening(address, PEER_PROBE_TIMEOUT_MS),
             onLeaderFound: (leader) => {
                 this.#router.adoptLeader(leader);
                 void this.#sendHello();
@@ -162,8 +162,9 @@
     /** Whether new callers should come here. */
     get isReady(): boolean {
         const isServing =
-            this.#reach.silentMs < READY_SILENCE_MS || this.#reach.state.type === "relay";
-        return !this.#isStopping && isServing;
+            this.#reachability.leaderSilentMs < MAX_READY_SILENCE_MS ||
+            this.#reachability.state.type === "relay";
+        return !this.#isDraining && isServing;
     }
 
     /**
@@ -171,7 +172,7 @@
      * open, they bring calls here for as long as the cut lasts, past a balancer that steers new ones.
      */
     get isCutOff(): boolean {
-        return this.#reach.state.type === "isolated";
+        return this.#reachability.state.type === "isolated";
     }
 
     /** Limits in force for callers; `undefined` before the first greeting. */
@@ -188,23 +189,25 @@
             methods: {
                 [METHODS.advise]: (params) => this.#handleAdvise(params as AdviseCall),
                 [METHODS.relay]: (params) => this.#handleRelay(params as RelayCall),
-                [METHODS.reach]: () => this.#describeReach(),
+                [METHODS.reach]: () => this.#describeReachability(),
             },
         });
-        this.#greetings = interval(HELLO_MS).subscribe(() => void this.#sendHello());
-        this.#probes = interval(REACH_MS).subscribe(() => void this.#updateReach());
+        this.#helloTimer = interval(HELLO_INTERVAL_MS).subscribe(() => void this.#sendHello());
+        this.#reachabilityTimer = interval(REACHABILITY_CHECK_INTERVAL_MS).subscribe(
+            () => void this.#updateReachability(),
+        );
         void this.#sendHello();
     }
 
     /** Is not ready from now on; calls are still served. */
     drain(): void {
-        this.#isStopping = true;
+        this.#isDraining = true;
     }
 
     /** Stops. */
     async stop(): Promise<void> {
-        this.#greetings?.unsubscribe();
-        this.#probes?.unsubscribe();
+        this.#helloTimer?.unsubscribe();
+        this.#reachabilityTimer?.unsubscribe();
         await this.#server?.close();
     }
 
@@ -216,27 +219,29 @@
      * @param budgetMs How long the caller waits, in ms.
      * @returns What became of it.
      */
-    async handleCaller(call: CallerCall, budgetMs: number): Promise<FrontOutcome> {
-        const startedAt = performance.now();
-        const limitMs = isAboutJob(call) ? budgetMs : Math.min(budgetMs, COUNT_BUDGET_MS);
-        const outcome = await this.#carryCall(call, limitMs);
+    async handleCaller(call: CallerCall, budgetMs: number): Promise<CallOutcome> {
+        const startedAtMs = performance.now();
+        const effectiveBudgetMs = isJobCall(call)
+            ? budgetMs
+            : Math.min(budgetMs, QUEUE_QUERY_TIMEOUT_MS);
+        const outcome = await this.#carryCall(call, effectiveBudgetMs);
         this.#options.metrics?.callSeconds.observe(
             { call: call.type, outcome: outcome.type },
-            (performance.now() - startedAt) / 1_000,
+            (performance.now() - startedAtMs) / 1_000,
         );
         return outcome;
     }
 
-    async #carryCall(call: CallerCall, budgetMs: number): Promise<FrontOutcome> {
-        const startedAt = performance.now();
-        const read = call.type === "state" ? await this.#readState(call) : undefined;
-        if (read !== undefined) {
-            return read;
+    async #carryCall(call: CallerCall, budgetMs: number): Promise<CallOutcome> {
+        const startedAtMs = performance.now();
+        const replicaAnswer = call.type === "state" ? await this.#readState(call) : undefined;
+        if (replicaAnswer !== undefined) {
+            return replicaAnswer;
         }
         let mayHaveHappened = false;
         do {
-            const remainingMs = budgetMs - (performance.now() - startedAt);
-            const { state } = this.#reach;
+            const remainingMs = budgetMs - (performance.now() - startedAtMs);
+            const { state } = this.#reachability;
             try {
                 return state.type === "relay"
                     ? await this.#sendRelay(state.address, call, remainingMs)
@@ -246,35 +251,38 @@
             }
             // On a way that opened meanwhile the call goes on; it is harmless when it came twice.
         } while (
-            this.#reach.state.type === "relay" &&
-            performance.now() - startedAt < budgetMs - RELAY_PAUSE_MS
+            this.#reachability.state.type === "relay" &&
+            performance.now() - startedAtMs < budgetMs - RELAY_BACKOFF_MS
         );
-        const retryAfterMs = this.isCutOff ? this.#computeReturnMs() : RETRY_AFTER_MS;
+        const retryAfterMs = this.isCutOff ? this.#computeRetryAfterMs() : DEFAULT_RETRY_AFTER_MS;
         return { type: mayHaveHappened ? "unknown" : "unreached", retryAfterMs };
     }
 
     async #callLeader(call: CallerCall, budgetMs: number): Promise<CallerAnswer> {
-        const startedAt = performance.now();
-        const computeWaitMs = (): number => this.#computeWaitMs(budgetMs);
-        const budget = { computeUndeliveredMs: computeWaitMs, computeUnsureMs: computeWaitMs };
+        const startedAtMs = performance.now();
+        const computeTimeoutMs = (): number => this.#computeTimeoutMs(budgetMs);
+        const budget = {
+            computeUndeliveredMs: computeTimeoutMs,
+            computeUnsureMs: computeTimeoutMs,
+        };
         const answer = await this.#router.call<CallerAnswer>(METHODS.callers, call, budget);
         // An answer that took long says little about the way now.
-        if (performance.now() - startedAt < LEADER_SILENCE_MS) {
-            this.#reach.recordLeader();
+        if (performance.now() - startedAtMs < LEADER_SILENCE_MS) {
+            this.#reachability.recordLeaderAnswer();
         }
         return answer;
     }
 
     async #sendRelay(address: string, call: CallerCall, budgetMs: number): Promise<CallerAnswer> {
-        const params: RelayCall = { call, budgetMs: Math.max(1, budgetMs - RELAY_PAUSE_MS) };
+        const params: RelayCall = { call, budgetMs: Math.max(1, budgetMs - RELAY_BACKOFF_MS) };
         try {
             return await this.#peerClients
                 .getClient(address)
                 .call<CallerAnswer>(METHODS.relay, params, Math.max(1, Math.ceil(budgetMs)));
         } catch (error) {
             // The next call asks the others anew rather than trusting this one again.
-            await this.#updateReach();
-            await new Promise((resolve) => setTimeout(resolve, RELAY_PAUSE_MS));
+            await this.#updateReachability();
+            await new Promise((resolve) => setTimeout(resolve, RELAY_BACKOFF_MS));
             throw error;
         }
     }
@@ -284,13 +292,13 @@
         const mayHaveHappened =
             error instanceof NoLeaderError
                 ? error.mayHaveHappened
-                : !(error instanceof RpcError && (error.isUndelivered || isNotLed(error)));
+                : !(error instanceof RpcError && (error.isUndelivered || isNotLeaderError(error)));
         this.#options.log.warn("no leader for a call", {
             path: call.path,
             call: call.type,
             mayHaveHappened,
-            reach: this.#reach.state.type,
-            silentMs: Math.round(this.#reach.silentMs),
+            reach: this.#reachability.state.type,
+            silentMs: Math.round(this.#reachability.leaderSilentMs),
             error: error.message,
         });
         return mayHaveHappened;
@@ -309,23 +317,23 @@
         }
     }
 
-    async #updateReach(): Promise<void> {
-        if (await this.#reach.update()) {
+    async #updateReachability(): Promise<void> {
+        if (await this.#reachability.update()) {
             this.#options.log.warn("way to the leader changed", {
-                reach: this.#reach.state,
-                silentMs: Math.round(this.#reach.silentMs),
+                reach: this.#reachability.state,
+                silentMs: Math.round(this.#reachability.leaderSilentMs),
             });
         }
     }
 
     /** Asks a replica for a job's state, where there are some; the leader is asked otherwise. */
     async #readState(call: CallerCall): Promise<CallerAnswer | undefined> {
-        const reader = this.#readers[this.#nextReader++ % Math.max(1, this.#readers.length)];
-        if (reader === undefined) {
+        const replica = this.#replicas[this.#nextReplica++ % Math.max(1, this.#replicas.length)];
+        if (replica === undefined) {
             return undefined;
         }
-        return this.#readerClients
-            .getClient(reader)
+        return this.#replicaClients
+            .getClient(replica)
             .call<CallerAnswer>(METHODS.readState, call)
             .catch((error: Error) => {
                 this.#options.log.debug("replica did not answer", { error: error.message });
@@ -338,31 +346,33 @@
      * chance: elsewhere it would find the same. On the cut-off side it is told at once, also when its
      * outcome is not known: it may come again elsewhere under the same name.
      */
-    #computeWaitMs(budgetMs: number): number {
-        switch (this.#reach.state.type) {
+    #computeTimeoutMs(budgetMs: number): number {
+        switch (this.#reachability.state.type) {
             case "direct":
             case "outage":
                 return budgetMs;
             case "relay":
                 return 0;
             case "isolated":
-                return this.#hasMovedCallers ? 0 : Math.min(budgetMs, CUT_OFF_BUDGET_MS);
+                return this.#hasBalancerFailedOver
+                    ? 0
+                    : Math.min(budgetMs, ISOLATED_CALL_TIMEOUT_MS);
         }
     }
 
     /** Whether a caller that comes back reaches another front. */
-    get #hasMovedCallers(): boolean {
-        return this.#reach.silentMs > MOVED_AFTER_MS;
+    get #hasBalancerFailedOver(): boolean {
+        return this.#reachability.leaderSilentMs > BALANCER_FAILOVER_MS;
     }
 
-    #computeReturnMs(): number {
-        return this.#hasMovedCallers ? 0 : NOT_MOVED_RETRY_MS;
+    #computeRetryAfterMs(): number {
+        return this.#hasBalancerFailedOver ? 0 : BEFORE_FAILOVER_RETRY_MS;
     }
 
-    #describeReach(): ReachAnswer {
-        const { hearsLeader } = this.#reach;
-        return hearsLeader && this.#leader !== ""
-            ? { hearsLeader, leader: this.#leader }
+    #describeReachability(): ReachAnswer {
+        const { hearsLeader } = this.#reachability;
+        return hearsLeader && this.#leaderAddress !== ""
+            ? { hearsLeader, leader: this.#leaderAddress }
             : { hearsLeader };
     }
 
@@ -371,45 +381,45 @@
     }
 
     async #sendHello(): Promise<void> {
-        if (this.#isGreeting) {
+        if (this.#isSendingHello) {
             return;
         }
-        this.#isGreeting = true;
+        this.#isSendingHello = true;
         const call: HelloCall = {
             address: this.#options.address,
             zone: this.#options.zone,
             kind: "front",
             publicAddress: "",
-            wantsPeers: performance.now() - this.#peersAskedAt >= PEERS_EVERY_MS,
+            wantsPeers: performance.now() - this.#peersReceivedAtMs >= PEERS_REFRESH_INTERVAL_MS,
         };
         try {
             const answer = await this.#router.call<HelloAnswer>(
                 METHODS.hello,
                 call,
-                HELLO_BUDGET_MS,
+                HELLO_TIMEOUT_MS,
             );
-            this.#reach.recordLeader();
-            this.#leader = answer.leader;
+            this.#reachability.recordLeaderAnswer();
+            this.#leaderAddress = answer.leader;
             this.#router.setMembers(answer.members);
             this.#limits = answer.limits ?? this.#limits;
-            this.#readers = answer.readers;
+            this.#replicas = answer.readers;
             if (answer.peers !== undefined) {
-                this.#peersAskedAt = performance.now();
-                this.#reach.setPeers(answer.peers);
+                this.#peersReceivedAtMs = performance.now();
+                this.#reachability.setPeers(answer.peers);
             }
         } catch (error) {
             this.#options.log.warn("no leader greeted", { error: (error as Error).message });
         }
-        this.#isGreeting = false;
+        this.#isSendingHello = false;
     }
 }
 
 /** A job's name ends the path of a call about it; a queue's own path does not end with one. */
-function isAboutJob(call: CallerCall): boolean {
+function isJobCall(call: CallerCall): boolean {
     return call.type !== "state" || isJobId(call.path.slice(call.path.lastIndexOf("/") + 1));
 }
 
 /** The front that was asked hears no leader itself: nothing was sent on. */
-function isNotLed(error: RpcError): boolean {
+function isNotLeaderError(error: RpcError): boolean {
     return error.code === NOT_LEADER_CODE;
 }
--- a/front/daemon_test.ts
+++ b/front/daemon_test.ts
@@ -11,11 +11,15 @@
 import { createLogger, LogSink } from "../telemetry/mod.ts";
 import { FrontDaemon } from "./daemon.ts";
 
-const CALL: CallerCall = { type: "cancel", host: "studio.example", path: "/p/00000000000000a1" };
+const CANCEL_CALL: CallerCall = {
+    type: "cancel",
+    host: "studio.example",
+    path: "/p/00000000000000a1",
+};
 /** How long a caller waits, in ms. */
-const DEADLINE_MS = 2_800;
+const CALL_TIMEOUT_MS = 2_800;
 /** The front has noticed a cut and asked the others by then, in ms. */
-const NOTICE_MS = 1_400;
+const ISOLATION_DETECTION_MS = 1_400;
 
 interface Fixture {
     readonly relay: FaultRelay;
@@ -68,7 +72,7 @@
 }
 
 /** By then a balancer has moved the callers of a front that is cut off, in ms. */
-const MOVED_MS = 3_400;
+const BALANCER_FAILOVER_MS = 3_400;
 
 function buildFront(zone: string, address: string, seed: string): FrontDaemon {
     const sink = new LogSink({ writeBytes: (_fd, bytes, done) => done(null, bytes.length) });
@@ -87,8 +91,8 @@
     return server.address;
 }
 
-async function waitFor(isTrue: () => boolean): Promise<void> {
-    while (!isTrue()) {
+async function waitFor(predicate: () => boolean): Promise<void> {
+    while (!predicate()) {
         await wait(20);
     }
 }
@@ -102,12 +106,18 @@
     // own tries time out, the front of zone b still hears the leader. Without it the caller would
     // wait for its whole deadline and be told that the outcome is unknown.
     const fixture = await startFronts(t, true);
-    t.deepEqual(await fixture.front.handleCaller(CALL, DEADLINE_MS), { type: "cancelled" });
+    t.deepEqual(await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS), {
+        type: "cancelled",
+    });
     fixture.relay.setMode("silent");
-    t.deepEqual(await fixture.front.handleCaller(CALL, DEADLINE_MS), { type: "cancelled" });
-    await wait(NOTICE_MS);
+    t.deepEqual(await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS), {
+        type: "cancelled",
+    });
+    await wait(ISOLATION_DETECTION_MS);
     const startedAt = performance.now();
-    t.deepEqual(await fixture.front.handleCaller(CALL, DEADLINE_MS), { type: "cancelled" });
+    t.deepEqual(await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS), {
+        type: "cancelled",
+    });
     // Once the cut is known no time is lost on the way that does not work.
     t.true(performance.now() - startedAt < 300);
     t.true(fixture.front.isReady);
@@ -118,9 +128,9 @@
     // No front hears a leader: a caller that is sent away would find the same elsewhere.
     const fixture = await startFronts(t, false);
     fixture.relay.setMode("refuse");
-    await wait(NOTICE_MS);
+    await wait(ISOLATION_DETECTION_MS);
     t.false(fixture.front.isReady);
-    const answer = fixture.front.handleCaller(CALL, DEADLINE_MS);
+    const answer = fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS);
     await wait(800);
     fixture.relay.setMode("open");
     t.deepEqual(await answer, { type: "cancelled" });
@@ -132,16 +142,16 @@
     const fixture = await startFronts(t, false);
     fixture.relay.close();
     await fixture.other.stop();
-    await wait(NOTICE_MS);
+    await wait(ISOLATION_DETECTION_MS);
     const startedAt = performance.now();
-    const answer = await fixture.front.handleCaller(CALL, DEADLINE_MS);
+    const answer = await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS);
     t.is(answer.type, "unreached");
     t.true(performance.now() - startedAt < 700);
     t.false(fixture.front.isReady);
     // The balancer has not moved the caller yet: at once it would come back here, and spend its retries.
     t.is(answer.type === "unreached" ? answer.retryAfterMs : undefined, 1_000);
-    await wait(MOVED_MS);
-    const later = await fixture.front.handleCaller(CALL, DEADLINE_MS);
+    await wait(BALANCER_FAILOVER_MS);
+    const later = await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS);
     t.is(later.type === "unreached" ? later.retryAfterMs : undefined, 0);
 });
 
@@ -151,14 +161,14 @@
     // question that was answered by the one before: the front seems to go back to the older one.
     const fixture = await startFronts(t, false);
     fixture.relay.setMode("refuse");
-    await wait(NOTICE_MS);
+    await wait(ISOLATION_DETECTION_MS);
     const startedAt = performance.now();
     const count: CallerCall = { type: "state", host: "studio.example", path: "/p/" };
-    const answer = await fixture.front.handleCaller(count, DEADLINE_MS);
+    const answer = await fixture.front.handleCaller(count, CALL_TIMEOUT_MS);
     t.true(answer.type === "unreached" || answer.type === "unknown");
     t.true(performance.now() - startedAt < 700);
     const state: CallerCall = { ...count, path: "/p/00000000000000a1" };
-    const held = fixture.front.handleCaller(state, DEADLINE_MS);
+    const held = fixture.front.handleCaller(state, CALL_TIMEOUT_MS);
     await wait(600);
     fixture.relay.setMode("open");
     t.deepEqual(await held, { type: "cancelled" });
--- a/front/reach.ts
+++ b/front/leader_reachability.ts
@@ -8,7 +8,7 @@
  *
  * @example
  * ```ts
- * import { Reach } from "./reach.ts";
+ * import { Reach } from "./leader_reachability.ts";
  * const reach = new Reach({ zone: "hall-a", probe });
  * reach.setPeers([{ address: "10.2.0.7:7720", zone: "hall-b" }]);
  * await reach.update();
@@ -21,7 +21,7 @@
 import type { PeerFront, ReachAnswer } from "../control/calls.ts";
 
 /** The way to the leader, as far as known. */
-export type ReachState =
+export type ReachabilityState =
     /** The leader answered lately. */
     | { readonly type: "direct" }
     /** This front hears no leader; the named one does. */
@@ -32,7 +32,7 @@
     | { readonly type: "isolated" };
 
 /** The way while the leader does not answer. */
-type ProbedState = Exclude<ReachState, { type: "direct" }>;
+type ProbedState = Exclude<ReachabilityState, { type: "direct" }>;
 
 /** What a peer said. */
 export interface PeerAnswer {
@@ -43,8 +43,8 @@
     readonly leader?: string | undefined;
 }
 
-/** Options of {@link Reach}. */
-export interface ReachOptions {
+/** Options of {@link LeaderReachability}. */
+export interface LeaderReachabilityOptions {
     readonly zone: string;
     /** Asks a peer whether it hears the leader; rejects when it does not answer. */
     readonly probe: (address: string) => Promise<ReachAnswer>;
@@ -66,40 +66,40 @@
  * The peers are asked again after this, in ms: in an outage every front asks six to eight others, beside
  * its callers' calls.
  */
-const PROBE_EVERY_MS = 400;
+const PROBE_INTERVAL_MS = 400;
 
 /** The way to the leader. */
-export class Reach {
-    readonly #options: ReachOptions;
+export class LeaderReachability {
+    readonly #options: LeaderReachabilityOptions;
     readonly #getNow: () => number;
     #peers: readonly PeerFront[] = [];
-    #servedAt: number;
-    #probed: ProbedState = { type: "outage" };
+    #leaderAnsweredAtMs: number;
+    #probedState: ProbedState = { type: "outage" };
     #isProbing = false;
-    #probedAt = Number.NEGATIVE_INFINITY;
+    #probedAtMs = Number.NEGATIVE_INFINITY;
 
     /**
      * @param options The own zone, how to ask a peer.
      */
-    constructor(options: ReachOptions) {
+    constructor(options: LeaderReachabilityOptions) {
         this.#options = options;
         this.#getNow = options.getNow ?? (() => performance.now());
-        this.#servedAt = Number.NEGATIVE_INFINITY;
+        this.#leaderAnsweredAtMs = Number.NEGATIVE_INFINITY;
     }
 
     /** The way to the leader now. */
-    get state(): ReachState {
-        return this.hearsLeader ? { type: "direct" } : this.#probed;
+    get state(): ReachabilityState {
+        return this.hearsLeader ? { type: "direct" } : this.#probedState;
     }
 
     /** Whether the leader itself answered lately. */
     get hearsLeader(): boolean {
-        return this.silentMs < LEADER_SILENCE_MS;
+        return this.leaderSilentMs < LEADER_SILENCE_MS;
     }
 
     /** Time since the leader answered, in ms. */
-    get silentMs(): number {
-        return this.#getNow() - this.#servedAt;
+    get leaderSilentMs(): number {
+        return this.#getNow() - this.#leaderAnsweredAtMs;
     }
 
     /**
@@ -112,10 +112,10 @@
     }
 
     /** Records that the leader answered this front itself. */
-    recordLeader(): void {
-        this.#servedAt = this.#getNow();
-        this.#probedAt = Number.NEGATIVE_INFINITY;
-        this.#probed = { type: "outage" };
+    recordLeaderAnswer(): void {
+        this.#leaderAnsweredAtMs = this.#getNow();
+        this.#probedAtMs = Number.NEGATIVE_INFINITY;
+        this.#probedState = { type: "outage" };
     }
 
     /**
@@ -124,17 +124,17 @@
      * @returns Whether the state is another one than before.
      */
     async update(): Promise<boolean> {
-        const now = this.#getNow();
-        if (this.hearsLeader || this.#isProbing || now - this.#probedAt < PROBE_EVERY_MS) {
+        const nowMs = this.#getNow();
+        if (this.hearsLeader || this.#isProbing || nowMs - this.#probedAtMs < PROBE_INTERVAL_MS) {
             return false;
         }
         this.#isProbing = true;
-        this.#probedAt = now;
+        this.#probedAtMs = nowMs;
         const answers = await Promise.all(this.#peers.map((peer) => this.#callPeer(peer)));
         this.#isProbing = false;
-        const before = this.#probed;
-        this.#probed = await this.#selectWay(answers);
-        return before.type !== this.#probed.type;
+        const previousState = this.#probedState;
+        this.#probedState = await this.#resolveState(answers);
+        return previousState.type !== this.#probedState.type;
     }
 
     /**
@@ -142,15 +142,15 @@
      * carry the calls of a hundred fronts over its small link, and callers would time out long after
      * the leader is there. A leader that can be connected to is called directly, however late it answers.
      */
-    async #selectWay(answers: readonly PeerAnswer[]): Promise<ProbedState> {
-        const way = findWay(answers, this.#options.zone);
+    async #resolveState(answers: readonly PeerAnswer[]): Promise<ProbedState> {
+        const classified = classifyAnswers(answers, this.#options.zone);
         const leader = answers.find(({ hearsLeader }) => hearsLeader === true)?.leader;
-        if (way.type !== "relay" || leader === undefined) {
-            return way;
+        if (classified.type !== "relay" || leader === undefined) {
+            return classified;
         }
         const canConnect = (await this.#options.canConnect?.(leader)) ?? false;
         if (!canConnect) {
-            return way;
+            return classified;
         }
         this.#options.onLeaderFound?.(leader);
         return { type: "outage" };
@@ -171,13 +171,13 @@
  * @param zone The own zone.
  * @returns The way to the leader.
  */
-export function findWay(answers: readonly PeerAnswer[], zone: string): ProbedState {
-    const relay = answers.find(({ hearsLeader }) => hearsLeader === true);
-    if (relay !== undefined) {
-        return { type: "relay", address: relay.peer.address };
+export function classifyAnswers(answers: readonly PeerAnswer[], zone: string): ProbedState {
+    const relayAnswer = answers.find(({ hearsLeader }) => hearsLeader === true);
+    if (relayAnswer !== undefined) {
+        return { type: "relay", address: relayAnswer.peer.address };
     }
-    const elsewhere = answers.filter(({ peer }) => peer.zone !== zone);
-    const witnesses = elsewhere.length > 0 ? elsewhere : answers;
-    const isSilent = witnesses.every(({ hearsLeader }) => hearsLeader === undefined);
-    return witnesses.length > 0 && isSilent ? { type: "isolated" } : { type: "outage" };
+    const otherZoneAnswers = answers.filter(({ peer }) => peer.zone !== zone);
+    const decisiveAnswers = otherZoneAnswers.length > 0 ? otherZoneAnswers : answers;
+    const isSilent = decisiveAnswers.every(({ hearsLeader }) => hearsLeader === undefined);
+    return decisiveAnswers.length > 0 && isSilent ? { type: "isolated" } : { type: "outage" };
 }
--- a/front/reach_test.ts
+++ b/front/leader_reachability_test.ts
@@ -1,6 +1,11 @@
 import test from "ava";
 import type { PeerFront } from "../control/calls.ts";
-import { findWay, LEADER_SILENCE_MS, Reach, type PeerAnswer } from "./reach.ts";
+import {
+    classifyAnswers,
+    LEADER_SILENCE_MS,
+    LeaderReachability,
+    type PeerAnswer,
+} from "./leader_reachability.ts";
 
 const ZONE = "a";
 
@@ -14,31 +19,31 @@
 
 test("a front of any zone that hears the leader carries the calls", (t) => {
     const answers = [buildAnswer("b", undefined), buildAnswer(ZONE, true)];
-    t.deepEqual(findWay(answers, ZONE), { type: "relay", address: "front-a:1" });
+    t.deepEqual(classifyAnswers(answers, ZONE), { type: "relay", address: "front-a:1" });
 });
 
 test("fronts elsewhere that hear no leader either mean an outage, which calls wait out", (t) => {
     const answers = [buildAnswer("b", false), buildAnswer("c", undefined)];
-    t.deepEqual(findWay(answers, ZONE), { type: "outage" });
+    t.deepEqual(classifyAnswers(answers, ZONE), { type: "outage" });
 });
 
 test("a zone whose fronts hear only each other is cut off", (t) => {
     // Callers of a cut-off zone: its fronts answer each other, so the own zone proves nothing.
     // Held to the deadline their calls would be lost; sent away they reach another zone.
     const answers = [buildAnswer(ZONE, false), buildAnswer("b", undefined)];
-    t.deepEqual(findWay(answers, ZONE), { type: "isolated" });
+    t.deepEqual(classifyAnswers(answers, ZONE), { type: "isolated" });
 });
 
 test("in a deployment of one zone its own fronts are the witnesses", (t) => {
-    t.deepEqual(findWay([buildAnswer(ZONE, false)], ZONE), { type: "outage" });
-    t.deepEqual(findWay([buildAnswer(ZONE, undefined)], ZONE), { type: "isolated" });
-    t.deepEqual(findWay([], ZONE), { type: "outage" });
+    t.deepEqual(classifyAnswers([buildAnswer(ZONE, false)], ZONE), { type: "outage" });
+    t.deepEqual(classifyAnswers([buildAnswer(ZONE, undefined)], ZONE), { type: "isolated" });
+    t.deepEqual(classifyAnswers([], ZONE), { type: "outage" });
 });
 
 test("peers are asked only while the leader is silent, and forgotten when it answers", async (t) => {
     let now = 1_000;
     let probes = 0;
-    const reach = new Reach({
+    const reachability = new LeaderReachability({
         zone: ZONE,
         getNow: () => now,
         probe: () => {
@@ -46,51 +51,51 @@
             return Promise.resolve({ hearsLeader: true });
         },
     });
-    reach.setPeers([buildPeer("b")]);
-    reach.recordLeader();
-    t.false(await reach.update());
+    reachability.setPeers([buildPeer("b")]);
+    reachability.recordLeaderAnswer();
+    t.false(await reachability.update());
     t.is(probes, 0);
     now += LEADER_SILENCE_MS;
-    t.true(await reach.update());
-    t.deepEqual(reach.state, { type: "relay", address: "front-b:1" });
-    reach.recordLeader();
-    t.deepEqual(reach.state, { type: "direct" });
+    t.true(await reachability.update());
+    t.deepEqual(reachability.state, { type: "relay", address: "front-b:1" });
+    reachability.recordLeaderAnswer();
+    t.deepEqual(reachability.state, { type: "direct" });
     now += LEADER_SILENCE_MS;
     // What was found in the last cut says nothing about this one.
-    t.deepEqual(reach.state, { type: "outage" });
+    t.deepEqual(reachability.state, { type: "outage" });
 });
 
-interface Found {
-    readonly reach: Reach;
+interface ReachabilityFixture {
+    readonly reachability: LeaderReachability;
     readonly found: string[];
 }
 
 /** A front that has not heard the leader yet, beside one that has. */
-function buildFound(canConnect: boolean): Found {
+function buildReachability(canConnect: boolean): ReachabilityFixture {
     const found: string[] = [];
-    const reach = new Reach({
+    const reachability = new LeaderReachability({
         zone: ZONE,
         probe: () => Promise.resolve({ hearsLeader: true, leader: "core-1:1" }),
         canConnect: () => Promise.resolve(canConnect),
         onLeaderFound: (leader) => found.push(leader),
     });
-    reach.setPeers([buildPeer("b")]);
-    return { reach, found };
+    reachability.setPeers([buildPeer("b")]);
+    return { reachability, found };
 }
 
 test("after an outage a front goes to the new leader itself, not through the first one that heard it", async (t) => {
     // All control instances were off. One front of a hundred hears the new leader first; if the others took
     // themselves for cut off, it would carry all their calls over its small link, and callers would time out
     // for seconds beside a leader that is there.
-    const { reach, found } = buildFound(true);
-    await reach.update();
-    t.deepEqual(reach.state, { type: "outage" });
+    const { reachability, found } = buildReachability(true);
+    await reachability.update();
+    t.deepEqual(reachability.state, { type: "outage" });
     t.deepEqual(found, ["core-1:1"]);
 });
 
 test("a front that can't connect to the leader that others hear has them carry its calls", async (t) => {
-    const { reach, found } = buildFound(false);
-    await reach.update();
-    t.deepEqual(reach.state, { type: "relay", address: "front-b:1" });
+    const { reachability, found } = buildReachability(false);
+    await reachability.update();
+    t.deepEqual(reachability.state, { type: "relay", address: "front-b:1" });
     t.deepEqual(found, []);
 });
--- a/front/mod.ts
+++ b/front/mod.ts
@@ -10,4 +10,4 @@
  */
 
 export * from "./daemon.ts";
-export * from "./reach.ts";
+export * from "./leader_reachability.ts";
--- a/job/crash_history.ts
+++ b/job/crash_history.ts
@@ -29,7 +29,7 @@
     readonly unit: UnitRef;
 }
 
-const STRENGTH: Readonly<Record<CrashEvidence, number>> = { late: 0, early: 1, sole: 2 };
+const EVIDENCE_RANK: Readonly<Record<CrashEvidence, number>> = { late: 0, early: 1, sole: 2 };
 
 /**
  * Adds a crash to a unit's history. A gang's attempt counts once, with the strongest evidence of its workers.
@@ -45,8 +45,11 @@
     crash: Crash,
     isPerpetual: boolean,
 ): readonly Crash[] {
-    const same = history.find(({ attempt }) => attempt === crash.attempt);
-    if (same !== undefined && STRENGTH[same.evidence] >= STRENGTH[crash.evidence]) {
+    const recorded = history.find(({ attempt }) => attempt === crash.attempt);
+    if (
+        recorded !== undefined &&
+        EVIDENCE_RANK[recorded.evidence] >= EVIDENCE_RANK[crash.evidence]
+    ) {
         return history;
     }
     const others = history.filter(({ attempt }) => attempt !== crash.attempt);
--- a/job/facts.ts
+++ b/job/facts.ts
@@ -13,7 +13,7 @@
 
 import type { Configuration, PoolName, QueueName } from "../configuration/mod.ts";
 import type { CrashedAttempt } from "./crash_history.ts";
-import type { EndKind, JobId, JobSpec, UnitRef, WorkerId, WorkerReport } from "./types.ts";
+import type { MemberOutcome, JobId, JobSpec, UnitRef, WorkerId, WorkerReport } from "./types.ts";
 
 /** One fact. */
 export type Fact =
@@ -41,7 +41,7 @@
           readonly unit: UnitRef;
           readonly attempt: number;
           readonly index: number;
-          readonly how: EndKind;
+          readonly how: MemberOutcome;
           readonly checkpoint: string;
       }
     | { readonly type: "workerSeen"; readonly worker: WorkerReport }
--- a/job/mod.ts
+++ b/job/mod.ts
@@ -11,5 +11,5 @@
 
 export * from "./crash_history.ts";
 export * from "./facts.ts";
-export * from "./ledger.ts";
+export * from "./state_store.ts";
 export * from "./types.ts";
--- a/job/ledger.ts
+++ b/job/state_store.ts
@@ -4,7 +4,7 @@
  *
  * @example
  * ```ts
- * import { Ledger } from "./ledger.ts";
+ * import { Ledger } from "./state_store.ts";
  * const ledger = new Ledger();
  * ledger.apply({ at, facts: [{ type: "jobCancelled", job }] });
  * ```
@@ -47,7 +47,7 @@
     (readonly Crash[])?,
 ];
 
-interface EncodedLedger {
+interface EncodedState {
     readonly at: number;
     readonly configuration: Configuration | undefined;
     readonly queues: readonly QueueConfig[];
@@ -65,12 +65,12 @@
  * Ids of workers that are gone, kept so that a heartbeat that was delayed on its way does not
  * bring one back. A day of 1,100 workers replaced three times a day stays below this.
  */
-const MAX_GONE_WORKERS = 4_096;
+const MAX_REMOVED_WORKERS = 4_096;
 
 /** The durable state. */
-export class Ledger {
+export class StateStore {
     /** The newest time on a batch. */
-    at = 0;
+    lastBatchAtMs = 0;
     /** The configuration in force. */
     configuration: Configuration | undefined;
     /** Every queue that jobs were accepted for, with its newest settings, also after its removal. */
@@ -78,10 +78,10 @@
     readonly jobs = new Map<JobId, Job>();
     readonly workers = new Map<WorkerId, WorkerRecord>();
     /** What each worker's own clock showed when it last told its room, in ms, as far as recorded. */
-    readonly reports = new Map<WorkerId, number>();
+    readonly lastReportClocksMs = new Map<WorkerId, number>();
     /** Attempts that were given up as their workers' leases ran out, while it is open whether these crashed. */
-    readonly lapses = new Map<WorkerId, readonly CrashedAttempt[]>();
-    readonly #gone = new Set<WorkerId>();
+    readonly attemptsOnExpiredLeases = new Map<WorkerId, readonly CrashedAttempt[]>();
+    readonly #removedWorkers = new Set<WorkerId>();
 
     /**
      * Applies facts that are agreed on.
@@ -89,7 +89,7 @@
      * @param batch The facts.
      */
     apply(batch: FactBatch): void {
-        this.at = Math.max(this.at, batch.at);
+        this.lastBatchAtMs = Math.max(this.lastBatchAtMs, batch.at);
         for (const fact of batch.facts) {
             this.#applyFact(fact);
         }
@@ -111,22 +111,22 @@
      * @param id The worker.
      * @returns True after its end was recorded.
      */
-    isGone(id: WorkerId): boolean {
-        return this.#gone.has(id);
+    isRemovedWorker(id: WorkerId): boolean {
+        return this.#removedWorkers.has(id);
     }
 
     /**
      * Gives an occurrence of a job, created empty on first use.
      *
      * @param job A job that has not ended.
-     * @param number The occurrence.
+     * @param occurrenceNumber The occurrence.
      * @returns The occurrence.
      */
-    ensureOccurrence(job: Job, number: number): Occurrence {
-        let occurrence = job.occurrences.get(number);
+    ensureOccurrence(job: Job, occurrenceNumber: number): Occurrence {
+        let occurrence = job.occurrences.get(occurrenceNumber);
         if (occurrence === undefined) {
             occurrence = { steps: (job.spec?.steps ?? []).map((step) => createUnits(step)) };
-            job.occurrences.set(number, occurrence);
+            job.occurrences.set(occurrenceNumber, occurrence);
         }
         return occurrence;
     }
@@ -134,17 +134,17 @@
     /**
      * Encodes the whole state.
      *
-     * @returns JSON text that {@link Ledger.restore} takes.
+     * @returns JSON text that {@link StateStore.restore} takes.
      */
     encode(): string {
-        const state: EncodedLedger = {
-            at: this.at,
+        const state: EncodedState = {
+            at: this.lastBatchAtMs,
             configuration: this.configuration,
             queues: [...this.queues.values()],
             workers: [...this.workers.values()],
-            reports: [...this.reports],
-            lapses: [...this.lapses],
-            gone: [...this.#gone],
+            reports: [...this.lastReportClocksMs],
+            lapses: [...this.attemptsOnExpiredLeases],
+            gone: [...this.#removedWorkers],
             jobs: [...this.jobs.values()].map(({ occurrences, ...job }) => ({
                 job,
                 occurrences: [...occurrences].map(
@@ -159,11 +159,11 @@
     /**
      * Replaces the whole state.
      *
-     * @param text What {@link Ledger.encode} gave.
+     * @param encoded What {@link StateStore.encode} gave.
      */
-    restore(text: string): void {
-        const state = JSON.parse(text) as EncodedLedger;
-        this.at = state.at;
+    restore(encoded: string): void {
+        const state = JSON.parse(encoded) as EncodedState;
+        this.lastBatchAtMs = state.at;
         this.configuration = state.configuration;
         this.queues.clear();
         state.queues.forEach((queue) => this.queues.set(queue.name, queue));
@@ -175,12 +175,12 @@
                 fullCapacity: worker.fullCapacity ?? worker.capacity,
             });
         }
-        this.reports.clear();
-        state.reports?.forEach(([id, clockMs]) => this.reports.set(id, clockMs));
-        this.lapses.clear();
-        state.lapses?.forEach(([id, under]) => this.lapses.set(id, under));
-        this.#gone.clear();
-        state.gone.forEach((id) => this.#gone.add(id));
+        this.lastReportClocksMs.clear();
+        state.reports?.forEach(([id, clockMs]) => this.lastReportClocksMs.set(id, clockMs));
+        this.attemptsOnExpiredLeases.clear();
+        state.lapses?.forEach(([id, under]) => this.attemptsOnExpiredLeases.set(id, under));
+        this.#removedWorkers.clear();
+        state.gone.forEach((id) => this.#removedWorkers.add(id));
         this.jobs.clear();
         for (const { job, occurrences } of state.jobs) {
             const decoded = occurrences.map(
@@ -199,16 +199,18 @@
      *
      * @returns The copy; facts applied to one of the two do not show in the other.
      */
-    copy(): Ledger {
-        const copy = new Ledger();
-        copy.at = this.at;
+    copy(): StateStore {
+        const copy = new StateStore();
+        copy.lastBatchAtMs = this.lastBatchAtMs;
         copy.configuration = this.configuration;
         this.queues.forEach((queue, name) => copy.queues.set(name, queue));
         this.workers.forEach((worker, id) => copy.workers.set(id, worker));
-        this.reports.forEach((clockMs, id) => copy.reports.set(id, clockMs));
-        this.lapses.forEach((under, id) => copy.lapses.set(id, under));
-        this.#gone.forEach((id) => copy.#gone.add(id));
-        this.jobs.forEach((job, id) => copy.jobs.set(id, isSettled(job) ? job : copyJob(job)));
+        this.lastReportClocksMs.forEach((clockMs, id) => copy.lastReportClocksMs.set(id, clockMs));
+        this.attemptsOnExpiredLeases.forEach((under, id) =>
+            copy.attemptsOnExpiredLeases.set(id, under),
+        );
+        this.#removedWorkers.forEach((id) => copy.#removedWorkers.add(id));
+        this.jobs.forEach((job, id) => copy.jobs.set(id, isImmutable(job) ? job : copyJob(job)));
         return copy;
     }
 
@@ -233,16 +235,16 @@
                 this.#setWorker(fact.worker);
                 return;
             case "workersHeard":
-                fact.reports.forEach(([id, clockMs]) => this.#recordReport(id, clockMs));
+                fact.reports.forEach(([id, clockMs]) => this.#recordReportClock(id, clockMs));
                 return;
             case "workerCrashed":
-                fact.under.forEach((run) => this.#recordCrash(run));
+                fact.under.forEach((crashedAttempt) => this.#recordCrash(crashedAttempt));
                 return;
             case "workerLapsed":
-                this.#recordLapse(fact.worker, fact.under);
+                this.#recordExpiredLease(fact.worker, fact.under);
                 return;
             case "workerAnswered":
-                this.lapses.delete(fact.worker);
+                this.attemptsOnExpiredLeases.delete(fact.worker);
                 return;
             case "workerGone":
                 this.#removeWorker(fact.worker);
@@ -251,7 +253,7 @@
                 this.#setConfiguration(fact.configuration);
                 return;
             case "jobsForgotten":
-                this.#removeEnded(fact.before);
+                this.#removeEndedJobs(fact.before);
                 return;
         }
     }
@@ -265,7 +267,7 @@
             queue: fact.queue,
             pool: fact.pool,
             spec: fact.spec,
-            acceptedAt: this.at,
+            acceptedAt: this.lastBatchAtMs,
             state: "queued",
             endedAt: undefined,
             occurrences: new Map(),
@@ -311,7 +313,7 @@
         if (unit.isDone && isJobDone(job)) {
             this.#endJob(job, "complete");
         } else {
-            this.#dropEndedWork(job);
+            this.#clearEndedJob(job);
         }
     }
 
@@ -332,12 +334,12 @@
             return;
         }
         this.#applyJobEvent(job, event);
-        job.endedAt = this.at;
-        this.#dropEndedWork(job);
+        job.endedAt = this.lastBatchAtMs;
+        this.#clearEndedJob(job);
     }
 
     /** An ended job needs only its state, once nothing of it can run any more. */
-    #dropEndedWork(job: Job): void {
+    #clearEndedJob(job: Job): void {
         if (job.endedAt !== undefined && !hasActiveMembers(job)) {
             job.spec = undefined;
             job.occurrences.clear();
@@ -352,37 +354,40 @@
 
     #setWorker(report: WorkerReport): void {
         const { capacity } = report;
-        const before = this.workers.get(report.id)?.fullCapacity ?? capacity;
+        const previousCapacity = this.workers.get(report.id)?.fullCapacity ?? capacity;
         const fullCapacity = {
-            cpu: Math.max(before.cpu, capacity.cpu),
-            memoryMb: Math.max(before.memoryMb, capacity.memoryMb),
-            gpu: Math.max(before.gpu, capacity.gpu),
+            cpu: Math.max(previousCapacity.cpu, capacity.cpu),
+            memoryMb: Math.max(previousCapacity.memoryMb, capacity.memoryMb),
+            gpu: Math.max(previousCapacity.gpu, capacity.gpu),
         };
         this.workers.set(report.id, { ...report, fullCapacity });
     }
 
-    #recordLapse(id: WorkerId, under: readonly CrashedAttempt[]): void {
+    #recordExpiredLease(id: WorkerId, attempts: readonly CrashedAttempt[]): void {
         if (this.workers.has(id)) {
-            this.lapses.set(id, [...(this.lapses.get(id) ?? []), ...under]);
+            this.attemptsOnExpiredLeases.set(id, [
+                ...(this.attemptsOnExpiredLeases.get(id) ?? []),
+                ...attempts,
+            ]);
         }
     }
 
-    #recordReport(id: WorkerId, clockMs: number): void {
+    #recordReportClock(id: WorkerId, clockMs: number): void {
         if (this.workers.has(id)) {
-            this.reports.set(id, clockMs);
+            this.lastReportClocksMs.set(id, clockMs);
         }
     }
 
     #removeWorker(id: WorkerId): void {
         this.workers.delete(id);
-        this.reports.delete(id);
-        this.lapses.delete(id);
-        this.#gone.add(id);
-        for (const oldest of this.#gone) {
-            if (this.#gone.size <= MAX_GONE_WORKERS) {
+        this.lastReportClocksMs.delete(id);
+        this.attemptsOnExpiredLeases.delete(id);
+        this.#removedWorkers.add(id);
+        for (const oldest of this.#removedWorkers) {
+            if (this.#removedWorkers.size <= MAX_REMOVED_WORKERS) {
                 break;
             }
-            this.#gone.delete(oldest);
+            this.#removedWorkers.delete(oldest);
         }
     }
 
@@ -391,18 +396,22 @@
             return;
         }
         this.configuration = configuration;
-        const inUse = new Set([...this.jobs.values()].map((job) => job.queue));
+        const queuesInUse = new Set([...this.jobs.values()].map((job) => job.queue));
         for (const name of this.queues.keys()) {
-            if (!inUse.has(name)) {
+            if (!queuesInUse.has(name)) {
                 this.queues.delete(name);
             }
         }
         configuration.queues.forEach((queue) => this.queues.set(queue.name, queue));
     }
 
-    #removeEnded(before: number): void {
+    #removeEndedJobs(endedBeforeMs: number): void {
         for (const job of this.jobs.values()) {
-            if (job.endedAt !== undefined && job.endedAt < before && job.occurrences.size === 0) {
+            if (
+                job.endedAt !== undefined &&
+                job.endedAt < endedBeforeMs &&
+                job.occurrences.size === 0
+            ) {
                 this.jobs.delete(job.id);
             }
         }
@@ -423,11 +432,11 @@
  * Tells whether a step of an occurrence has all its units done.
  *
  * @param occurrence The occurrence.
- * @param step The step's number.
+ * @param stepIndex The step's number.
  * @returns True when nothing of it is left to run.
  */
-export function isStepDone(occurrence: Occurrence, step: number): boolean {
-    return occurrence.steps[step]?.every((unit) => unit.isDone) ?? false;
+export function isStepDone(occurrence: Occurrence, stepIndex: number): boolean {
+    return occurrence.steps[stepIndex]?.every((unit) => unit.isDone) ?? false;
 }
 
 function isJobDone(job: Job): boolean {
@@ -446,7 +455,7 @@
 }
 
 /** Nothing of it can run any more: it is only forgotten, as a whole. */
-function isSettled(job: Job): boolean {
+function isImmutable(job: Job): boolean {
     return job.endedAt !== undefined && job.occurrences.size === 0;
 }
 
--- a/job/ledger_test.ts
+++ b/job/state_store_test.ts
@@ -2,20 +2,20 @@
 import { buildSpec, buildWorkerReport, POOL, QUEUE } from "../dispatch/_fixtures.ts";
 import { addCrash } from "./crash_history.ts";
 import type { Fact } from "./facts.ts";
-import { Ledger } from "./ledger.ts";
-import type { EndKind, JobId, UnitRef, WorkerId } from "./types.ts";
+import { StateStore } from "./state_store.ts";
+import type { MemberOutcome, JobId, UnitRef, WorkerId } from "./types.ts";
 
 const JOB = "00000000000000a1" as JobId;
 const UNIT: UnitRef = { job: JOB, occurrence: 0, step: 0, unit: 0 };
 const WORKER = "w1" as WorkerId;
 
-function buildLedger(spec = buildSpec({ count: 1 })): Ledger {
-    const ledger = new Ledger();
-    ledger.apply({
+function buildStore(spec = buildSpec({ count: 1 })): StateStore {
+    const store = new StateStore();
+    store.apply({
         at: 1,
         facts: [{ type: "jobAccepted", job: JOB, queue: QUEUE, pool: POOL, spec }],
     });
-    return ledger;
+    return store;
 }
 
 function buildAttempt(attempt: number, indexes: readonly number[] = [0]): Fact {
@@ -27,33 +27,33 @@
     };
 }
 
-function buildEnd(attempt: number, how: EndKind, index = 0): Fact {
+function buildEnd(attempt: number, how: MemberOutcome, index = 0): Fact {
     return { type: "memberEnded", unit: UNIT, attempt, index, how, checkpoint: "" };
 }
 
 test("a job is queued, runs and completes", (t) => {
-    const ledger = buildLedger();
-    t.is(ledger.jobs.get(JOB)?.state, "queued");
-    ledger.apply({ at: 2, facts: [buildAttempt(1)] });
-    t.is(ledger.jobs.get(JOB)?.state, "running");
-    ledger.apply({ at: 3, facts: [buildEnd(1, "done")] });
-    t.is(ledger.jobs.get(JOB)?.state, "complete");
-    t.is(ledger.jobs.get(JOB)?.spec, undefined);
+    const store = buildStore();
+    t.is(store.jobs.get(JOB)?.state, "queued");
+    store.apply({ at: 2, facts: [buildAttempt(1)] });
+    t.is(store.jobs.get(JOB)?.state, "running");
+    store.apply({ at: 3, facts: [buildEnd(1, "done")] });
+    t.is(store.jobs.get(JOB)?.state, "complete");
+    t.is(store.jobs.get(JOB)?.spec, undefined);
 });
 
 test("an end of an earlier attempt changes nothing", (t) => {
-    const ledger = buildLedger();
-    ledger.apply({ at: 2, facts: [buildAttempt(1), buildEnd(1, "lost"), buildAttempt(2)] });
-    ledger.apply({ at: 3, facts: [buildEnd(1, "done")] });
-    t.is(ledger.jobs.get(JOB)?.state, "running");
-    t.is(ledger.findUnit(UNIT)?.members.size, 1);
+    const store = buildStore();
+    store.apply({ at: 2, facts: [buildAttempt(1), buildEnd(1, "lost"), buildAttempt(2)] });
+    store.apply({ at: 3, facts: [buildEnd(1, "done")] });
+    t.is(store.jobs.get(JOB)?.state, "running");
+    t.is(store.findUnit(UNIT)?.members.size, 1);
 });
 
 // Guards against a history of crashes that a new leader or a restored replica does not have.
 test("crashes under a unit outlast a copy and a restored state", (t) => {
-    const ledger = buildLedger();
+    const store = buildStore();
     const under = [{ unit: UNIT, attempt: 1, evidence: "sole" as const }];
-    ledger.apply({
+    store.apply({
         at: 2,
         facts: [
             buildAttempt(1),
@@ -61,26 +61,26 @@
             buildEnd(1, "lost"),
         ],
     });
-    const restored = new Ledger();
-    restored.restore(ledger.encode());
-    for (const other of [ledger, ledger.copy(), restored]) {
+    const restored = new StateStore();
+    restored.restore(store.encode());
+    for (const other of [store, store.copy(), restored]) {
         t.deepEqual(other.findUnit(UNIT)?.crashes, [{ attempt: 1, evidence: "sole" }]);
     }
 });
 
 // Guards against reports that a restored replica takes for newer than they are, or does not have.
 test("what workers' clocks showed outlasts a copy and a restored state, and goes with its worker", (t) => {
-    const ledger = buildLedger();
+    const store = buildStore();
     const heard = { type: "workersHeard" as const, reports: [[WORKER, 4_000] as const] };
-    ledger.apply({ at: 2, facts: [heard] });
-    t.is(ledger.reports.size, 0);
-    ledger.apply({ at: 3, facts: [{ type: "workerSeen", worker: buildWorkerReport() }, heard] });
-    const restored = new Ledger();
-    restored.restore(ledger.encode());
-    for (const other of [ledger, ledger.copy(), restored]) {
-        t.is(other.reports.get(WORKER), 4_000);
+    store.apply({ at: 2, facts: [heard] });
+    t.is(store.lastReportClocksMs.size, 0);
+    store.apply({ at: 3, facts: [{ type: "workerSeen", worker: buildWorkerReport() }, heard] });
+    const restored = new StateStore();
+    restored.restore(store.encode());
+    for (const other of [store, store.copy(), restored]) {
+        t.is(other.lastReportClocksMs.get(WORKER), 4_000);
         other.apply({ at: 4, facts: [{ type: "workerGone", worker: WORKER }] });
-        t.is(other.reports.size, 0);
+        t.is(other.lastReportClocksMs.size, 0);
     }
 });
 
@@ -90,14 +90,14 @@
     const seen: Fact = { type: "workerSeen", worker: buildWorkerReport() };
     const lapsed: Fact = { type: "workerLapsed", worker: WORKER, under };
     for (const end of ["workerAnswered", "workerGone"] as const) {
-        const ledger = buildLedger();
-        ledger.apply({ at: 2, facts: [seen, lapsed] });
-        const restored = new Ledger();
-        restored.restore(ledger.encode());
-        for (const other of [ledger, ledger.copy(), restored]) {
-            t.deepEqual(other.lapses.get(WORKER), under);
+        const store = buildStore();
+        store.apply({ at: 2, facts: [seen, lapsed] });
+        const restored = new StateStore();
+        restored.restore(store.encode());
+        for (const other of [store, store.copy(), restored]) {
+            t.deepEqual(other.attemptsOnExpiredLeases.get(WORKER), under);
             other.apply({ at: 3, facts: [{ type: end, worker: WORKER }] });
-            t.is(other.lapses.size, 0);
+            t.is(other.attemptsOnExpiredLeases.size, 0);
         }
     }
 });
@@ -120,30 +120,30 @@
 });
 
 test("a gang's attempt counts once, however many members failed", (t) => {
-    const ledger = buildLedger(buildSpec({ count: 3, isGang: true }));
-    ledger.apply({ at: 2, facts: [buildAttempt(1, [0, 1, 2])] });
-    ledger.apply({
+    const store = buildStore(buildSpec({ count: 3, isGang: true }));
+    store.apply({ at: 2, facts: [buildAttempt(1, [0, 1, 2])] });
+    store.apply({
         at: 3,
         facts: [buildEnd(1, "failed", 0), buildEnd(1, "failed", 1), buildEnd(1, "broken", 2)],
     });
-    t.is(ledger.findUnit(UNIT)?.failures, 1);
+    t.is(store.findUnit(UNIT)?.failures, 1);
 });
 
 test("a cancelled job keeps what still runs until its end is known", (t) => {
-    const ledger = buildLedger();
-    ledger.apply({ at: 2, facts: [buildAttempt(1), { type: "jobCancelled", job: JOB }] });
-    t.is(ledger.jobs.get(JOB)?.state, "cancelled");
-    t.is(ledger.findUnit(UNIT)?.members.size, 1);
-    ledger.apply({ at: 3, facts: [buildEnd(1, "stopped")] });
-    t.is(ledger.jobs.get(JOB)?.occurrences.size, 0);
+    const store = buildStore();
+    store.apply({ at: 2, facts: [buildAttempt(1), { type: "jobCancelled", job: JOB }] });
+    t.is(store.jobs.get(JOB)?.state, "cancelled");
+    t.is(store.findUnit(UNIT)?.members.size, 1);
+    store.apply({ at: 3, facts: [buildEnd(1, "stopped")] });
+    t.is(store.jobs.get(JOB)?.occurrences.size, 0);
 });
 
 test("a restored ledger goes on as the one it was taken from", (t) => {
-    const ledger = buildLedger();
-    ledger.apply({ at: 2, facts: [buildAttempt(1)] });
-    const copy = new Ledger();
-    copy.restore(ledger.encode());
-    t.is(copy.encode(), ledger.encode());
+    const store = buildStore();
+    store.apply({ at: 2, facts: [buildAttempt(1)] });
+    const copy = new StateStore();
+    copy.restore(store.encode());
+    t.is(copy.encode(), store.encode());
     copy.apply({ at: 3, facts: [buildEnd(1, "done")] });
     t.is(copy.jobs.get(JOB)?.state, "complete");
 });
@@ -151,10 +151,10 @@
 test("a copy and its original do not see each other's facts, and share what is settled", (t) => {
     // A new leader decides on a copy ahead of what is agreed on. A unit shared by both would take each
     // of its facts twice, and count a failed attempt twice.
-    const ledger = buildLedger();
+    const store = buildStore();
     const settled = "00000000000000c3" as JobId;
     const spec = buildSpec({ count: 1 });
-    ledger.apply({
+    store.apply({
         at: 2,
         facts: [
             buildAttempt(1),
@@ -163,20 +163,20 @@
             { type: "workerGone", worker: WORKER },
         ],
     });
-    const copy = ledger.copy();
-    t.is(copy.encode(), ledger.encode());
-    t.is(copy.jobs.get(settled), ledger.jobs.get(settled));
-    t.true(copy.isGone(WORKER));
+    const copy = store.copy();
+    t.is(copy.encode(), store.encode());
+    t.is(copy.jobs.get(settled), store.jobs.get(settled));
+    t.true(copy.isRemovedWorker(WORKER));
     copy.apply({ at: 3, facts: [buildEnd(1, "failed")] });
     t.is(copy.findUnit(UNIT)?.failures, 1);
-    t.is(ledger.findUnit(UNIT)?.failures, 0);
-    t.is(ledger.findUnit(UNIT)?.members.size, 1);
-    ledger.apply({ at: 3, facts: [buildEnd(1, "done")] });
+    t.is(store.findUnit(UNIT)?.failures, 0);
+    t.is(store.findUnit(UNIT)?.members.size, 1);
+    store.apply({ at: 3, facts: [buildEnd(1, "done")] });
     t.is(copy.jobs.get(JOB)?.state, "running");
 });
 
 test("a copy of thousands of jobs takes a fraction of the time of its encoded form", (t) => {
-    const ledger = new Ledger();
+    const store = new StateStore();
     const facts: Fact[] = [];
     for (let i = 0; i < 5_000; i++) {
         const job = i.toString(16).padStart(16, "0") as JobId;
@@ -186,20 +186,20 @@
             facts.push({ type: "jobCancelled", job });
         }
     }
-    ledger.apply({ at: 1, facts });
+    store.apply({ at: 1, facts });
     const startedAt = performance.now();
-    new Ledger().restore(ledger.encode());
+    new StateStore().restore(store.encode());
     const encodedMs = performance.now() - startedAt;
-    t.is(ledger.copy().jobs.size, 5_000);
+    t.is(store.copy().jobs.size, 5_000);
     const copyMs = performance.now() - startedAt - encodedMs;
     t.true(3 * copyMs < encodedMs, `${copyMs} ms against ${encodedMs} ms`);
 });
 
 test("ended jobs are forgotten only after their time", (t) => {
-    const ledger = buildLedger();
-    ledger.apply({ at: 100, facts: [{ type: "jobCancelled", job: JOB }] });
-    ledger.apply({ at: 150, facts: [{ type: "jobsForgotten", before: 100 }] });
-    t.true(ledger.jobs.has(JOB));
-    ledger.apply({ at: 200, facts: [{ type: "jobsForgotten", before: 101 }] });
-    t.false(ledger.jobs.has(JOB));
+    const store = buildStore();
+    store.apply({ at: 100, facts: [{ type: "jobCancelled", job: JOB }] });
+    store.apply({ at: 150, facts: [{ type: "jobsForgotten", before: 100 }] });
+    t.true(store.jobs.has(JOB));
+    store.apply({ at: 200, facts: [{ type: "jobsForgotten", before: 101 }] });
+    t.false(store.jobs.has(JOB));
 });
--- a/job/types.ts
+++ b/job/types.ts
@@ -85,7 +85,7 @@
  * How one member of an attempt ended. `lost` and `void` are the scheduler's own findings: the
  * worker went away with it; it never ran and never will.
  */
-export type EndKind =
+export type MemberOutcome =
     "done" | "failed" | "stopped" | "lapsed" | "broken" | "alone" | "lost" | "void";
 
 /**
@@ -165,7 +165,7 @@
     readonly fullCapacity: Resources;
 }
 
-const JOB_ID = /^[0-9a-f]{16}$/;
+const JOB_ID_PATTERN = /^[0-9a-f]{16}$/;
 
 /**
  * Tells whether a text names a job.
@@ -174,7 +174,7 @@
  * @returns True for 16 hexadecimal digits.
  */
 export function isJobId(text: string): text is JobId {
-    return JOB_ID.test(text);
+    return JOB_ID_PATTERN.test(text);
 }
 
 /**
--- a/standin/task_worker.ts
+++ b/standin/task_worker.ts
@@ -23,7 +23,7 @@
     StartOrder,
     StopOrder,
 } from "../dispatch/mod.ts";
-import type { EndKind, Resources, WorkerId } from "../job/mod.ts";
+import type { MemberOutcome, Resources, WorkerId } from "../job/mod.ts";
 
 /** One run on a worker. */
 export interface TaskRun {
@@ -47,7 +47,7 @@
     /** What a task needs. */
     readonly getRoom: (task: string) => Resources;
     /** How a task ends by itself. */
-    readonly getEnd?: (task: string) => EndKind;
+    readonly getEnd?: (task: string) => MemberOutcome;
     /** What a task reports as its load. */
     readonly getLoad?: (task: string) => number;
     /** This worker's clock runs so much slower than ours (0.02 for 2%). */
@@ -58,7 +58,7 @@
     readonly maxLeaseMs?: number;
     /** Told of each run that begins and ends here. */
     readonly onRun?: (run: TaskRun) => void;
-    readonly onEnd?: (run: TaskRun, how: EndKind) => void;
+    readonly onEnd?: (run: TaskRun, how: MemberOutcome) => void;
     /** Told of each end that it may forget. */
     readonly onAcknowledge?: (end: EndReport) => void;
 }
@@ -221,7 +221,7 @@
         return Math.min(99, Math.floor((100 * (this.#options.getNow() - run.startedAt)) / whole));
     }
 
-    #endRun(run: TaskRun, how: EndKind): void {
+    #endRun(run: TaskRun, how: MemberOutcome): void {
         this.#runs.delete(run.task);
         this.#closed.set(run.task, run.attempt);
         this.#endCount += 1;
