--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -1,6 +1,6 @@
 /**
- * A front instance: it takes callers' calls, carries them to the leader, and calls the advice
- * service when the leader asks it to. It keeps no state of its own.
+ * Stateless front end of the control plane: forwards callers' requests to the leader and calls the
+ * advice service on the leader's behalf.
  *
  * @example
  * ```ts
@@ -29,7 +29,7 @@
     type RelayCall,
 } from "../control/calls.ts";
 import { selectSilenceMs } from "../control/timings.ts";
-// Not the whole face of `job/`: a front needs no state charts.
+// Imported directly, since `job/mod.ts` would load the state charts, which a front does not need.
 import { isJobId } from "../job/types.ts";
 import type { ControlMetrics } from "../telemetry/control_metrics.ts";
 import {
@@ -51,75 +51,69 @@
 
 /** Options of {@link FrontDaemon}. */
 export interface FrontDaemonOptions {
-    /** Where this instance's RPC server listens, `host:port`. */
+    /** Listen address of this instance's RPC server, `host:port`. */
     readonly address: string;
     readonly zone: string;
-    /** RPC addresses of some control instances. */
+    /** Returns the RPC addresses of some control instances. */
     readonly listSeeds: () => readonly string[];
-    /** How many control instances may be lost at once; 1 by default. */
+    /** Number of control instances that may fail at once; 1 by default. */
     readonly tolerated?: number;
     readonly adviceCalls: AdviceCalls;
     readonly metrics?: ControlMetrics;
     readonly log: Logger;
 }
 
-/** What became of a call. */
+/** The outcome of a call. */
 export type CallOutcome =
     | CallerAnswer
-    /** No leader answered in time; whether the call was carried out is not known. */
+    /** No leader answered in time; the call may or may not have been executed. */
     | { readonly type: "unknown"; readonly retryAfterMs: number }
-    /** No leader answered in time, and the call reached none. */
+    /** No leader answered in time; the call was not executed. */
     | { readonly type: "unreached"; readonly retryAfterMs: number };
 
-/** Time between two greetings to the leader, in ms. */
+/** Interval between two `hello` calls to the leader, in ms. */
 const HELLO_INTERVAL_MS = 400;
-/** A greeting is given up after this, in ms, so that a lost leader is noticed soon. */
+/** Timeout of a `hello` call, in ms; bounds how late a lost leader is detected. */
 const HELLO_TIMEOUT_MS = 1_000;
 /**
- * Without a leader's answer for this long the front is not ready, in ms: a greeting's interval and what an answer
- * takes. The balancer moves callers after two failed checks a second apart: an election (below 0.6 s)
- * moves nobody, a zone that is cut off sends its callers to others 2 to 3.3 s after the cut.
+ * Longest time without an answer from the leader for which the front reports ready, in ms. Covers
+ * an election; a longer value delays the load balancer's failover to other zones.
  */
 const MAX_READY_SILENCE_MS = 600;
 /**
- * How long a call waits on a front that is cut off, in ms: a caller that is sent away at once has two or
- * three more tries within its deadline of some seconds; one that is held for 1.6 s has one at most.
+ * Timeout of a call on an isolated front, in ms; short, so that the caller has time left to retry
+ * on another front.
  */
 const ISOLATED_CALL_TIMEOUT_MS = 250;
 /**
- * The balancer has moved callers this long after the leader was heard last, in ms: it moves them once the last front
- * of the zone has failed two checks a second apart.
+ * Time from the leader's last answer until the load balancer has moved callers to another zone, in
+ * ms: every front of the zone must first fail two checks, one second apart.
  */
 const BALANCER_FAILOVER_MS = MAX_READY_SILENCE_MS + 2_700;
 /**
- * When a caller should come back before that, in ms. It has a few retries: sent back at once it spent four of them
- * within half a second on the same front, and its job was refused for good; a second apart they outlast the move.
+ * `Retry-After` of an isolated front before the load balancer has moved its callers, in ms. Spaces
+ * the retries out so that a caller does not use all of them on the same front.
  */
 const BEFORE_FAILOVER_RETRY_MS = 1_000;
-/** Time between two questions to the other fronts while no leader is heard, in ms. */
+/** Interval between two checks of the path to the leader, in ms. */
 const REACHABILITY_CHECK_INTERVAL_MS = 100;
-/** A front that does not answer by then is not reached, in ms: the way takes some ms. */
+/** Timeout of a probe of another front or of the leader's port, in ms. */
 const PEER_PROBE_TIMEOUT_MS = 250;
 /**
- * How long a question about a whole queue may take, in ms. Held through an outage it would be answered by
- * a configuration that came into force long after it was asked, next to later questions that were
- * answered by the one before: to an observer this front goes back to an older configuration. A
- * question about a job is held, because its caller needs that answer.
+ * Timeout of a query about a whole queue, in ms. A query held through an outage would be answered
+ * by a newer configuration than queries sent after it: the configuration would seem to go back.
  */
 const QUEUE_QUERY_TIMEOUT_MS = 200;
-/** Pause after a relay that failed, and time kept for its way back, in ms. */
+/** Backoff after a failed relay, and the time reserved for returning a relayed answer, in ms. */
 const RELAY_BACKOFF_MS = 60;
-/** The addresses of other fronts are asked for this often, in ms; they matter for seconds at a time. */
+/** Interval between two requests for the addresses of other fronts, in ms. */
 const PEERS_REFRESH_INTERVAL_MS = 5_000;
-/**
- * A replica that does not answer a question about a state by then is not waited for, in ms: it may
- * hold one for 200.
- */
+/** Timeout of a state query to a replica, in ms; a replica may hold a query for 200 ms. */
 const REPLICA_READ_TIMEOUT_MS = 500;
-/** When to come back while no leader can be reached, in ms: about one election. */
+/** `Retry-After` while no leader can be reached, in ms: about one election. */
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
-/** One front instance. */
+/** Serves callers' requests by forwarding them to the leader. */
 export class FrontDaemon {
     readonly #options: FrontDaemonOptions;
     readonly #router: LeaderRouter;
@@ -132,14 +126,14 @@
     #peersReceivedAtMs = Number.NEGATIVE_INFINITY;
     #isDraining = false;
     #limits: HelloLimits | undefined;
-    /** The leader that answered the last greeting, by its own word. */
+    /** The address that the leader gave in its last `hello` answer; empty before the first one. */
     #leaderAddress = "";
     readonly #replicaClients = new RpcClientPool({ timeoutMs: REPLICA_READ_TIMEOUT_MS });
     #replicas: readonly string[] = [];
     #nextReplica = 0;
 
     /**
-     * @param options Addresses, seeds, the advice service; see {@link FrontDaemonOptions}.
+     * @param options Addresses, seeds and the advice service; see {@link FrontDaemonOptions}.
      */
     constructor(options: FrontDaemonOptions) {
         this.#options = options;
@@ -159,7 +153,7 @@
         });
     }
 
-    /** Whether new callers should come here. */
+    /** Whether the load balancer should send new callers to this front. */
     get isReady(): boolean {
         const isServing =
             this.#reachability.leaderSilentMs < MAX_READY_SILENCE_MS ||
@@ -168,19 +162,19 @@
     }
 
     /**
-     * Whether this front can serve nobody, though others can. Its callers' idle connections are of no use then: kept
-     * open, they bring calls here for as long as the cut lasts, past a balancer that steers new ones.
+     * Whether this front is isolated while others can serve. Idle keep-alive connections should
+     * then be closed, because the load balancer redirects new connections only.
      */
     get isCutOff(): boolean {
         return this.#reachability.state.type === "isolated";
     }
 
-    /** Limits in force for callers; `undefined` before the first greeting. */
+    /** The limits in force for callers; `undefined` until the leader has sent them. */
     get limits(): HelloLimits | undefined {
         return this.#limits;
     }
 
-    /** Starts greeting the leader and serving it. */
+    /** Starts the RPC server and the periodic `hello` calls to the leader. */
     async start(): Promise<void> {
         const [host, port] = parseAddress(this.#options.address);
         this.#server = await startRpcServer({
@@ -199,12 +193,12 @@
         void this.#sendHello();
     }
 
-    /** Is not ready from now on; calls are still served. */
+    /** Reports not ready from now on; calls are still served. */
     drain(): void {
         this.#isDraining = true;
     }
 
-    /** Stops. */
+    /** Stops the timers and closes the RPC server. */
     async stop(): Promise<void> {
         this.#helloTimer?.unsubscribe();
         this.#reachabilityTimer?.unsubscribe();
@@ -212,12 +206,12 @@
     }
 
     /**
-     * Carries a call to the leader. It is tried again until a leader answers or the budget is
-     * used up: every call is harmless when it is carried out twice.
+     * Forwards a call to the leader, with retries until a leader answers or the budget is used up.
+     * Every call is idempotent.
      *
      * @param call The call.
      * @param budgetMs How long the caller waits, in ms.
-     * @returns What became of it.
+     * @returns The leader's answer, or why there is none.
      */
     async handleCaller(call: CallerCall, budgetMs: number): Promise<CallOutcome> {
         const startedAtMs = performance.now();
@@ -249,7 +243,7 @@
             } catch (error) {
                 mayHaveHappened = this.#handleCallFailure(call, error as Error) || mayHaveHappened;
             }
-            // On a way that opened meanwhile the call goes on; it is harmless when it came twice.
+            // Retries if a relay has become available meanwhile; calls are idempotent.
         } while (
             this.#reachability.state.type === "relay" &&
             performance.now() - startedAtMs < budgetMs - RELAY_BACKOFF_MS
@@ -266,7 +260,7 @@
             computeUnsureMs: computeTimeoutMs,
         };
         const answer = await this.#router.call<CallerAnswer>(METHODS.callers, call, budget);
-        // An answer that took long says little about the way now.
+        // A late answer does not show that the leader can be reached now.
         if (performance.now() - startedAtMs < LEADER_SILENCE_MS) {
             this.#reachability.recordLeaderAnswer();
         }
@@ -280,14 +274,14 @@
                 .getClient(address)
                 .call<CallerAnswer>(METHODS.relay, params, Math.max(1, Math.ceil(budgetMs)));
         } catch (error) {
-            // The next call asks the others anew rather than trusting this one again.
+            // Probes the peers again rather than relying on a relay that failed.
             await this.#updateReachability();
             await new Promise((resolve) => setTimeout(resolve, RELAY_BACKOFF_MS));
             throw error;
         }
     }
 
-    /** @returns Whether the call may have been carried out nevertheless. */
+    /** @returns Whether the call may have been executed nevertheless. */
     #handleCallFailure(call: CallerCall, error: Error): boolean {
         const mayHaveHappened =
             error instanceof NoLeaderError
@@ -304,7 +298,7 @@
         return mayHaveHappened;
     }
 
-    /** Carries a call for a front that hears no leader; it is not passed on any further. */
+    /** Forwards a call for a front that cannot reach the leader; it is not relayed further. */
     async #handleRelay({ call, budgetMs }: RelayCall): Promise<CallerAnswer> {
         try {
             return await this.#callLeader(call, budgetMs);
@@ -326,7 +320,7 @@
         }
     }
 
-    /** Asks a replica for a job's state, where there are some; the leader is asked otherwise. */
+    /** Reads a job's state from a replica; `undefined` if there is none or it does not answer. */
     async #readState(call: CallerCall): Promise<CallerAnswer | undefined> {
         const replica = this.#replicas[this.#nextReplica++ % Math.max(1, this.#replicas.length)];
         if (replica === undefined) {
@@ -342,9 +336,9 @@
     }
 
     /**
-     * Gives how long a call waits for the leader itself. In an outage waiting is the caller's best
-     * chance: elsewhere it would find the same. On the cut-off side it is told at once, also when its
-     * outcome is not known: it may come again elsewhere under the same name.
+     * Computes how long a call waits for the leader, in ms. In an outage no other front could serve
+     * the caller, so the call waits. An isolated front answers early, also if the outcome is
+     * unknown: the caller can retry on another front under the same job id.
      */
     #computeTimeoutMs(budgetMs: number): number {
         switch (this.#reachability.state.type) {
@@ -360,7 +354,7 @@
         }
     }
 
-    /** Whether a caller that comes back reaches another front. */
+    /** Whether the load balancer routes a retry to another front by now. */
     get #hasBalancerFailedOver(): boolean {
         return this.#reachability.leaderSilentMs > BALANCER_FAILOVER_MS;
     }
@@ -414,12 +408,12 @@
     }
 }
 
-/** A job's name ends the path of a call about it; a queue's own path does not end with one. */
+/** Tells a call about a job, whose path ends with the job's id, from a query about a queue. */
 function isJobCall(call: CallerCall): boolean {
     return call.type !== "state" || isJobId(call.path.slice(call.path.lastIndexOf("/") + 1));
 }
 
-/** The front that was asked hears no leader itself: nothing was sent on. */
+/** Tells whether a relay did not forward the call because it cannot reach the leader either. */
 function isNotLeaderError(error: RpcError): boolean {
     return error.code === NOT_LEADER_CODE;
 }
--- a/front/daemon_test.ts
+++ b/front/daemon_test.ts
@@ -16,21 +16,21 @@
     host: "studio.example",
     path: "/p/00000000000000a1",
 };
-/** How long a caller waits, in ms. */
+/** Timeout of a caller's request, in ms. */
 const CALL_TIMEOUT_MS = 2_800;
-/** The front has noticed a cut and asked the others by then, in ms. */
+/** Time within which a front detects a partition and has probed its peers, in ms. */
 const ISOLATION_DETECTION_MS = 1_400;
 
 interface Fixture {
     readonly relay: FaultRelay;
-    /** The front of zone a, which reaches the leader over the relay. */
+    /** The front of zone a, which reaches the leader through the fault relay. */
     readonly front: FrontDaemon;
     /** The front of zone b. */
     readonly other: FrontDaemon;
     readonly countCalls: () => number;
 }
 
-/** A stand-in leader and two fronts; `isOtherDirect` tells whether zone b needs the relay too. */
+/** Starts a fake leader and two fronts; with `isOtherDirect` zone b bypasses the fault relay. */
 async function startFronts(t: ExecutionContext, isOtherDirect: boolean): Promise<Fixture> {
     const [address, otherAddress] = [await findFreeAddress(), await findFreeAddress()];
     const peers: PeerFront[] = [{ address: otherAddress, zone: "b" }];
@@ -71,7 +71,7 @@
     };
 }
 
-/** By then a balancer has moved the callers of a front that is cut off, in ms. */
+/** Time within which the load balancer has moved the callers of an isolated front, in ms. */
 const BALANCER_FAILOVER_MS = 3_400;
 
 function buildFront(zone: string, address: string, seed: string): FrontDaemon {
@@ -102,9 +102,6 @@
 }
 
 test("a front that is cut off from the leader has another front carry its calls", async (t) => {
-    // The caller's connection stays with this front. The leader's side is cut silently: the front's
-    // own tries time out, the front of zone b still hears the leader. Without it the caller would
-    // wait for its whole deadline and be told that the outcome is unknown.
     const fixture = await startFronts(t, true);
     t.deepEqual(await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS), {
         type: "cancelled",
@@ -118,14 +115,13 @@
     t.deepEqual(await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS), {
         type: "cancelled",
     });
-    // Once the cut is known no time is lost on the way that does not work.
+    // Once the partition is detected, no time is spent on direct attempts.
     t.true(performance.now() - startedAt < 300);
     t.true(fixture.front.isReady);
     t.is(fixture.countCalls(), 3);
 });
 
 test("in an outage of all control instances a call waits until they are back", async (t) => {
-    // No front hears a leader: a caller that is sent away would find the same elsewhere.
     const fixture = await startFronts(t, false);
     fixture.relay.setMode("refuse");
     await wait(ISOLATION_DETECTION_MS);
@@ -137,8 +133,6 @@
 });
 
 test("a front that hears nobody sends its callers away at once", async (t) => {
-    // The whole zone is cut off. Held to the deadline a call would be lost; the caller that is told
-    // to come back finds a front of another zone.
     const fixture = await startFronts(t, false);
     fixture.relay.close();
     await fixture.other.stop();
@@ -148,7 +142,7 @@
     t.is(answer.type, "unreached");
     t.true(performance.now() - startedAt < 700);
     t.false(fixture.front.isReady);
-    // The balancer has not moved the caller yet: at once it would come back here, and spend its retries.
+    // Before the load balancer has moved the caller, an immediate retry would return to this front.
     t.is(answer.type === "unreached" ? answer.retryAfterMs : undefined, 1_000);
     await wait(BALANCER_FAILOVER_MS);
     const later = await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS);
@@ -156,9 +150,7 @@
 });
 
 test("a question about a queue is not held through an outage, one about a job is", async (t) => {
-    // An observer asks a front how many jobs wait, on routes that come and go. Held through the outage, the
-    // first question is answered by the configuration that came into force at its end, after a later
-    // question that was answered by the one before: the front seems to go back to the older one.
+    // Guards against answers that seem to go back to an older configuration after an outage.
     const fixture = await startFronts(t, false);
     fixture.relay.setMode("refuse");
     await wait(ISOLATION_DETECTION_MS);
--- a/front/leader_reachability.ts
+++ b/front/leader_reachability.ts
@@ -1,18 +1,15 @@
 /**
- * How a front that hears no leader gets a call through. The pattern: the way between one front, or one
- * availability zone, and the control instances is cut while callers still reach the front. Held to
- * their deadlines there, calls are lost although the other fronts serve; refused in an outage of all
- * control instances, they are lost although waiting a second would do. The front therefore asks
- * fronts of other zones: one that hears the leader carries its calls, fronts that hear none either
- * mean an outage that ends for all at once, and silence means that this side is cut off.
+ * Detects, for a front without an answer from the leader, whether it is partitioned from the leader
+ * or the whole control plane is down. It probes fronts of other availability zones, which can also
+ * relay its calls.
  *
  * @example
  * ```ts
- * import { Reach } from "./leader_reachability.ts";
- * const reach = new Reach({ zone: "hall-a", probe });
- * reach.setPeers([{ address: "10.2.0.7:7720", zone: "hall-b" }]);
- * await reach.update();
- * reach.state; // { type: "relay", address: "10.2.0.7:7720" }
+ * import { LeaderReachability } from "./leader_reachability.ts";
+ * const reachability = new LeaderReachability({ zone: "hall-a", probe });
+ * reachability.setPeers([{ address: "10.2.0.7:7720", zone: "hall-b" }]);
+ * await reachability.update();
+ * reachability.state; // { type: "relay", address: "10.2.0.7:7720" }
  * ```
  *
  * @module
@@ -20,55 +17,51 @@
 
 import type { PeerFront, ReachAnswer } from "../control/calls.ts";
 
-/** The way to the leader, as far as known. */
+/** How the leader can be reached, as far as known. */
 export type ReachabilityState =
-    /** The leader answered lately. */
+    /** The leader answered recently. */
     | { readonly type: "direct" }
-    /** This front hears no leader; the named one does. */
+    /** This front cannot reach the leader; the front at `address` can. */
     | { readonly type: "relay"; readonly address: string }
-    /** Nobody hears a leader: an election, or all control instances are down. */
+    /** No front reaches a leader: an election is under way, or all control instances are down. */
     | { readonly type: "outage" }
-    /** No front of another zone answers: this side is cut off. */
+    /** No front of another zone answers: this zone is partitioned from the others. */
     | { readonly type: "isolated" };
 
-/** The way while the leader does not answer. */
+/** The result of probing the peers while the leader does not answer. */
 type ProbedState = Exclude<ReachabilityState, { type: "direct" }>;
 
-/** What a peer said. */
+/** A peer's answer to a probe. */
 export interface PeerAnswer {
     readonly peer: PeerFront;
-    /** `undefined` when it did not answer. */
+    /** Whether the peer reaches the leader; `undefined` if the peer did not answer. */
     readonly hearsLeader: boolean | undefined;
-    /** The leader that it hears, if it told. */
+    /** The address of the leader that the peer reaches, if given. */
     readonly leader?: string | undefined;
 }
 
 /** Options of {@link LeaderReachability}. */
 export interface LeaderReachabilityOptions {
     readonly zone: string;
-    /** Asks a peer whether it hears the leader; rejects when it does not answer. */
+    /** Asks a peer whether it reaches the leader; rejects if the peer does not answer. */
     readonly probe: (address: string) => Promise<ReachAnswer>;
-    /** Whether a connection to an instance can be opened; none by default. */
+    /** Tells whether a connection to an instance can be opened; without it, none can. */
     readonly canConnect?: (address: string) => Promise<boolean>;
-    /** Told of a leader that a peer hears and that this front can connect to. */
+    /** Called with a leader that a peer reaches and that this front can connect to. */
     readonly onLeaderFound?: (leader: string) => void;
     readonly getNow?: () => number;
 }
 
 /**
- * Without an answer of the leader for this long the peers are asked, in ms: longer than a greeting's
- * interval (400 ms) and a busy leader's answer, so that sound days ask nobody, and short, as each tenth of a second
- * counts for callers of a zone that is cut off.
+ * Time without an answer from the leader after which the peers are probed, in ms. Longer than the
+ * interval of `hello` calls (400 ms) plus a busy leader's response time.
  */
 export const LEADER_SILENCE_MS = 600;
 
-/**
- * The peers are asked again after this, in ms: in an outage every front asks six to eight others, beside
- * its callers' calls.
- */
+/** Minimum interval between two rounds of probes, in ms; limits their load during an outage. */
 const PROBE_INTERVAL_MS = 400;
 
-/** The way to the leader. */
+/** Tracks whether and how this front reaches the leader. */
 export class LeaderReachability {
     readonly #options: LeaderReachabilityOptions;
     readonly #getNow: () => number;
@@ -79,7 +72,7 @@
     #probedAtMs = Number.NEGATIVE_INFINITY;
 
     /**
-     * @param options The own zone, how to ask a peer.
+     * @param options This front's zone and how to probe a peer.
      */
     constructor(options: LeaderReachabilityOptions) {
         this.#options = options;
@@ -87,23 +80,23 @@
         this.#leaderAnsweredAtMs = Number.NEGATIVE_INFINITY;
     }
 
-    /** The way to the leader now. */
+    /** How the leader can be reached now. */
     get state(): ReachabilityState {
         return this.hearsLeader ? { type: "direct" } : this.#probedState;
     }
 
-    /** Whether the leader itself answered lately. */
+    /** Whether the leader answered this front recently. */
     get hearsLeader(): boolean {
         return this.leaderSilentMs < LEADER_SILENCE_MS;
     }
 
-    /** Time since the leader answered, in ms. */
+    /** Time since the leader's last answer, in ms. */
     get leaderSilentMs(): number {
         return this.#getNow() - this.#leaderAnsweredAtMs;
     }
 
     /**
-     * Sets the fronts to ask.
+     * Sets the fronts to probe.
      *
      * @param peers Some fronts of each zone, without this one.
      */
@@ -111,7 +104,7 @@
         this.#peers = peers;
     }
 
-    /** Records that the leader answered this front itself. */
+    /** Records that the leader answered this front, and discards the last probe's result. */
     recordLeaderAnswer(): void {
         this.#leaderAnsweredAtMs = this.#getNow();
         this.#probedAtMs = Number.NEGATIVE_INFINITY;
@@ -119,9 +112,9 @@
     }
 
     /**
-     * Asks the peers, if the leader has been silent.
+     * Probes the peers if the leader has not answered recently.
      *
-     * @returns Whether the state is another one than before.
+     * @returns Whether the type of the state changed.
      */
     async update(): Promise<boolean> {
         const nowMs = this.#getNow();
@@ -138,9 +131,8 @@
     }
 
     /**
-     * After an outage some front is the first to hear the new leader. Took all others for cut off, that one would
-     * carry the calls of a hundred fronts over its small link, and callers would time out long after
-     * the leader is there. A leader that can be connected to is called directly, however late it answers.
+     * Prefers a direct connection over a relay if the leader accepts connections. Otherwise the
+     * first front that reaches a new leader after an outage would relay the calls of all others.
      */
     async #resolveState(answers: readonly PeerAnswer[]): Promise<ProbedState> {
         const classified = classifyAnswers(answers, this.#options.zone);
@@ -163,13 +155,12 @@
 }
 
 /**
- * Finds the way by what the peers said. A front of the own zone proves nothing by its answer: it is cut off
- * with this one. With no front elsewhere to ask, the own zone's answers are all there is, and
- * without any the front waits as in an outage.
+ * Classifies the peers' answers. Fronts of the same zone share a partition, so their answers count
+ * only if no other zone has a front; without any answers, an outage is assumed.
  *
- * @param answers What the peers said.
- * @param zone The own zone.
- * @returns The way to the leader.
+ * @param answers The peers' answers.
+ * @param zone This front's zone.
+ * @returns How the leader can be reached.
  */
 export function classifyAnswers(answers: readonly PeerAnswer[], zone: string): ProbedState {
     const relayAnswer = answers.find(({ hearsLeader }) => hearsLeader === true);
--- a/front/leader_reachability_test.ts
+++ b/front/leader_reachability_test.ts
@@ -28,8 +28,6 @@
 });
 
 test("a zone whose fronts hear only each other is cut off", (t) => {
-    // Callers of a cut-off zone: its fronts answer each other, so the own zone proves nothing.
-    // Held to the deadline their calls would be lost; sent away they reach another zone.
     const answers = [buildAnswer(ZONE, false), buildAnswer("b", undefined)];
     t.deepEqual(classifyAnswers(answers, ZONE), { type: "isolated" });
 });
@@ -61,7 +59,7 @@
     reachability.recordLeaderAnswer();
     t.deepEqual(reachability.state, { type: "direct" });
     now += LEADER_SILENCE_MS;
-    // What was found in the last cut says nothing about this one.
+    // The result of an earlier probe is not reused.
     t.deepEqual(reachability.state, { type: "outage" });
 });
 
@@ -70,7 +68,7 @@
     readonly found: string[];
 }
 
-/** A front that has not heard the leader yet, beside one that has. */
+/** Creates the state of a front that has not reached the leader, with a peer that has. */
 function buildReachability(canConnect: boolean): ReachabilityFixture {
     const found: string[] = [];
     const reachability = new LeaderReachability({
@@ -84,9 +82,7 @@
 }
 
 test("after an outage a front goes to the new leader itself, not through the first one that heard it", async (t) => {
-    // All control instances were off. One front of a hundred hears the new leader first; if the others took
-    // themselves for cut off, it would carry all their calls over its small link, and callers would time out
-    // for seconds beside a leader that is there.
+    // Guards against one front relaying the calls of all others after an outage.
     const { reachability, found } = buildReachability(true);
     await reachability.update();
     t.deepEqual(reachability.state, { type: "outage" });
--- a/front/mod.ts
+++ b/front/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Front instances: callers' calls on their way to the leader.
+ * Front instances, which forward callers' requests to the leader.
  *
  * @example
  * ```ts
--- a/job/crash_history.ts
+++ b/job/crash_history.ts
@@ -1,5 +1,5 @@
 /**
- * Crashes of workers under one unit's attempts, as far as the unit may have caused them.
+ * The worker crashes that one unit of work may have caused, used to detect crash loops.
  *
  * @example
  * ```ts
@@ -13,18 +13,19 @@
 import type { UnitRef } from "./types.ts";
 
 /**
- * What a crash says about an attempt that was on the worker. `late`: the attempt had outlasted its start. `early`:
- * it had not, nor had others beside it. `sole`: it was the only one that had not.
+ * How strongly a worker's crash implicates an attempt on that worker. `late`: the attempt had run
+ * past its startup period. `early`: it and others were still starting. `sole`: it was the only one
+ * that was still starting.
  */
 export type CrashEvidence = "late" | "early" | "sole";
 
-/** One attempt under which a worker crashed. */
+/** An attempt of one unit during which a worker crashed. */
 export interface Crash {
     readonly attempt: number;
     readonly evidence: CrashEvidence;
 }
 
-/** What a crash, or a silence that may be one, says about one attempt. */
+/** An attempt on a worker that crashed or whose lease expired, with its unit. */
 export interface CrashedAttempt extends Crash {
     readonly unit: UnitRef;
 }
@@ -32,12 +33,13 @@
 const EVIDENCE_RANK: Readonly<Record<CrashEvidence, number>> = { late: 0, early: 1, sole: 2 };
 
 /**
- * Adds a crash to a unit's history. A gang's attempt counts once, with the strongest evidence of its workers.
+ * Adds a crash to a unit's history. An attempt of a gang counts once, with the strongest evidence
+ * of its workers.
  *
- * @param history The crashes so far.
+ * @param history The crashes so far; not modified.
  * @param crash The crash.
- * @param isPerpetual Whether the unit runs until it is stopped: over a long life its workers crash by
- * causes of their own, so an attempt that outlasted its start clears it.
+ * @param isPerpetual Whether the unit runs until it is cancelled. Over a long run its workers crash
+ * for unrelated reasons, so an attempt that ran past its startup period clears the history.
  * @returns The new history.
  */
 export function addCrash(
@@ -56,7 +58,7 @@
     if (crash.evidence !== "late") {
         return [...others, crash];
     }
-    // What outlasted its start once does not crash its workers by being started.
+    // A unit that ran past its startup period once does not crash workers by starting.
     return isPerpetual
         ? []
         : [...others.map(({ attempt }) => ({ attempt, evidence: "late" as const })), crash];
--- a/job/facts.ts
+++ b/job/facts.ts
@@ -1,6 +1,6 @@
 /**
- * The facts that the control plane's log holds about jobs, workers and the configuration. Each
- * says what was decided or learned; replicas that apply the same facts hold the same state.
+ * The state changes that the control plane replicates in its log. Replicas that apply the same
+ * facts in the same order hold the same state.
  *
  * @example
  * ```ts
@@ -15,7 +15,7 @@
 import type { CrashedAttempt } from "./crash_history.ts";
 import type { MemberOutcome, JobId, JobSpec, UnitRef, WorkerId, WorkerReport } from "./types.ts";
 
-/** One fact. */
+/** One replicated state change of jobs, workers or the configuration. */
 export type Fact =
     | {
           readonly type: "jobAccepted";
@@ -25,17 +25,17 @@
           readonly spec: JobSpec;
       }
     | { readonly type: "jobCancelled"; readonly job: JobId }
-    /** A unit failed as often as its queue allows, or crashes its workers. */
+    /** A unit reached its queue's limit of failures, or repeatedly crashed its workers. */
     | { readonly type: "jobFailed"; readonly job: JobId }
-    /** Recorded before any order goes out: a later leader knows each attempt that may run. */
+    /** Committed before any start order is sent, so that a new leader knows every attempt. */
     | {
           readonly type: "attemptStarted";
           readonly unit: UnitRef;
           readonly attempt: number;
-          /** Task index and worker of each member. */
+          /** The task index and the worker of each member. */
           readonly members: readonly (readonly [number, WorkerId])[];
       }
-    /** Recorded before the worker is told that it may forget the end. */
+    /** Committed before the worker's report of this end is acknowledged. */
     | {
           readonly type: "memberEnded";
           readonly unit: UnitRef;
@@ -45,33 +45,36 @@
           readonly checkpoint: string;
       }
     | { readonly type: "workerSeen"; readonly worker: WorkerReport }
-    /** What workers' clocks showed when they last told their room: a later leader knows by it how old that is. */
+    /**
+     * The workers' own clocks, in ms, at their last capacity reports; a new leader derives the age
+     * of the reports from it.
+     */
     | {
           readonly type: "workersHeard";
           readonly reports: readonly (readonly [WorkerId, number])[];
       }
-    /** Recorded with the worker's end, before any other attempt of these units starts. */
+    /** Committed with the worker's removal, before these units are started again. */
     | {
           readonly type: "workerCrashed";
           readonly worker: WorkerId;
           readonly under: readonly CrashedAttempt[];
       }
-    /** A worker's lease ran out under these attempts: it may have crashed, or be cut off. */
+    /** A worker's lease expired during these attempts: it crashed or is unreachable. */
     | {
           readonly type: "workerLapsed";
           readonly worker: WorkerId;
           readonly under: readonly CrashedAttempt[];
       }
-    /** It was cut off, or slow. */
+    /** A worker whose lease had expired answered: it was unreachable or slow, not crashed. */
     | { readonly type: "workerAnswered"; readonly worker: WorkerId }
     | { readonly type: "workerGone"; readonly worker: WorkerId }
     | { readonly type: "configurationSet"; readonly configuration: Configuration }
-    /** Jobs that ended before `before` may be forgotten. */
+    /** Jobs that ended before `before`, in ms since 1970, are removed. */
     | { readonly type: "jobsForgotten"; readonly before: number };
 
-/** Facts that are applied together, with the time that the leader gave them. */
+/** Facts that are applied together, with the leader's timestamp. */
 export interface FactBatch {
-    /** Ms since 1970 by the leaders' common clock, which never goes back. */
+    /** Timestamp in ms since 1970; never decreases, also across leaders. */
     readonly at: number;
     readonly facts: readonly Fact[];
 }
--- a/job/mod.ts
+++ b/job/mod.ts
@@ -1,9 +1,9 @@
 /**
- * Jobs of steps: types, the facts of the log, and the durable state that they make.
+ * Jobs and their steps: types, the replicated facts, and the state built from them.
  *
  * @example
  * ```ts
- * import { Ledger, type Fact, type JobSpec } from "./mod.ts";
+ * import { StateStore, type Fact, type JobSpec } from "./mod.ts";
  * ```
  *
  * @module
--- a/job/state_store.ts
+++ b/job/state_store.ts
@@ -1,12 +1,12 @@
 /**
- * The durable state of the control plane: configuration, jobs with their attempts, workers. It
- * changes only by facts and asks no clock, so every replica that applied the same log agrees.
+ * The replicated state machine of the control plane: configuration, jobs with their attempts, and
+ * workers. It changes only by facts and reads no clock, so that replicas stay identical.
  *
  * @example
  * ```ts
- * import { Ledger } from "./state_store.ts";
- * const ledger = new Ledger();
- * ledger.apply({ at, facts: [{ type: "jobCancelled", job }] });
+ * import { StateStore } from "./state_store.ts";
+ * const store = new StateStore();
+ * store.apply({ at, facts: [{ type: "jobCancelled", job }] });
  * ```
  *
  * @module
@@ -36,7 +36,10 @@
 type MemberEnded = Extract<Fact, { type: "memberEnded" }>;
 type AttemptStarted = Extract<Fact, { type: "attemptStarted" }>;
 
-/** A unit in the encoded form of a ledger. */
+/**
+ * A unit in a snapshot: attempt, failures, checkpoint, `isDone`, `hasFailedMember`, members, and
+ * crashes if there are any.
+ */
 type EncodedUnit = readonly [
     number,
     number,
@@ -62,31 +65,33 @@
 }
 
 /**
- * Ids of workers that are gone, kept so that a heartbeat that was delayed on its way does not
- * bring one back. A day of 1,100 workers replaced three times a day stays below this.
+ * Number of ids of removed workers to keep, so that a delayed heartbeat does not register one
+ * again. Enough for a day of 1,100 workers that are replaced three times.
  */
 const MAX_REMOVED_WORKERS = 4_096;
 
-/** The durable state. */
+/** Holds the replicated state and applies facts to it. */
 export class StateStore {
-    /** The newest time on a batch. */
+    /** The latest timestamp of an applied batch, in ms since 1970. */
     lastBatchAtMs = 0;
     /** The configuration in force. */
     configuration: Configuration | undefined;
-    /** Every queue that jobs were accepted for, with its newest settings, also after its removal. */
+    /**
+     * The configured queues, and removed ones that still had jobs, with their latest settings.
+     */
     readonly queues = new Map<QueueName, QueueConfig>();
     readonly jobs = new Map<JobId, Job>();
     readonly workers = new Map<WorkerId, WorkerRecord>();
-    /** What each worker's own clock showed when it last told its room, in ms, as far as recorded. */
+    /** Each worker's own clock at its last recorded capacity report, in ms. */
     readonly lastReportClocksMs = new Map<WorkerId, number>();
-    /** Attempts that were given up as their workers' leases ran out, while it is open whether these crashed. */
+    /** Attempts by worker whose lease expired, until it is known whether the worker crashed. */
     readonly attemptsOnExpiredLeases = new Map<WorkerId, readonly CrashedAttempt[]>();
     readonly #removedWorkers = new Set<WorkerId>();
 
     /**
-     * Applies facts that are agreed on.
+     * Applies a batch of facts in order.
      *
-     * @param batch The facts.
+     * @param batch A committed batch, or on a leader's working copy one that is yet to commit.
      */
     apply(batch: FactBatch): void {
         this.lastBatchAtMs = Math.max(this.lastBatchAtMs, batch.at);
@@ -98,29 +103,29 @@
     /**
      * Finds a unit.
      *
-     * @param ref The unit's name.
-     * @returns The unit, or `undefined` when its job is forgotten or it never ran.
+     * @param ref The unit's reference.
+     * @returns The unit, or `undefined` if its job was removed or its occurrence does not exist.
      */
     findUnit(ref: UnitRef): Unit | undefined {
         return this.jobs.get(ref.job)?.occurrences.get(ref.occurrence)?.steps[ref.step]?.[ref.unit];
     }
 
     /**
-     * Tells whether a worker is known to be gone for good.
+     * Tells whether a worker was removed; its id is never used again.
      *
-     * @param id The worker.
-     * @returns True after its end was recorded.
+     * @param id The worker's id.
+     * @returns True if its removal was applied and is still remembered.
      */
     isRemovedWorker(id: WorkerId): boolean {
         return this.#removedWorkers.has(id);
     }
 
     /**
-     * Gives an occurrence of a job, created empty on first use.
+     * Returns an occurrence of a job, which is created on first use.
      *
      * @param job A job that has not ended.
-     * @param occurrenceNumber The occurrence.
-     * @returns The occurrence.
+     * @param occurrenceNumber The occurrence's number, from 0.
+     * @returns The occurrence with its units.
      */
     ensureOccurrence(job: Job, occurrenceNumber: number): Occurrence {
         let occurrence = job.occurrences.get(occurrenceNumber);
@@ -132,9 +137,9 @@
     }
 
     /**
-     * Encodes the whole state.
+     * Encodes the whole state as a snapshot.
      *
-     * @returns JSON text that {@link StateStore.restore} takes.
+     * @returns JSON text for {@link StateStore.restore}.
      */
     encode(): string {
         const state: EncodedState = {
@@ -157,9 +162,9 @@
     }
 
     /**
-     * Replaces the whole state.
+     * Replaces the whole state by a snapshot.
      *
-     * @param encoded What {@link StateStore.encode} gave.
+     * @param encoded The text that {@link StateStore.encode} returned.
      */
     restore(encoded: string): void {
         const state = JSON.parse(encoded) as EncodedState;
@@ -169,7 +174,7 @@
         state.queues.forEach((queue) => this.queues.set(queue.name, queue));
         this.workers.clear();
         for (const worker of state.workers) {
-            // A snapshot of an earlier release names no full capacity.
+            // Snapshots of earlier releases have no `fullCapacity`.
             this.workers.set(worker.id, {
                 ...worker,
                 fullCapacity: worker.fullCapacity ?? worker.capacity,
@@ -192,12 +197,11 @@
     }
 
     /**
-     * Copies the state, to decide on ahead of what is agreed on. Ended jobs, which no fact changes any
-     * more, and what callers sent are shared. By way of its encoded form the copy of some thousand
-     * jobs held a new leader's event loop longer than an election takes: the next leader was elected
-     * meanwhile, and so on.
+     * Copies the state, for a leader that schedules ahead of the commit index. Immutable parts are
+     * shared: copying through {@link StateStore.encode} would block a new leader's event loop for
+     * longer than an election takes.
      *
-     * @returns The copy; facts applied to one of the two do not show in the other.
+     * @returns An independent copy.
      */
     copy(): StateStore {
         const copy = new StateStore();
@@ -305,7 +309,7 @@
         const isPerpetual = job.spec?.steps[fact.unit.step]?.isPerpetual ?? false;
         unit.isDone ||= fact.how === "done" && !isPerpetual;
         unit.hasFailedMember ||= fact.how === "failed";
-        // A gang's attempt counts once, however many of its members failed.
+        // An attempt of a gang counts as one failure, however many members failed.
         if (unit.members.size === 0 && unit.hasFailedMember && !unit.isDone) {
             unit.failures += 1;
             unit.hasFailedMember = false;
@@ -338,7 +342,7 @@
         this.#clearEndedJob(job);
     }
 
-    /** An ended job needs only its state, once nothing of it can run any more. */
+    /** Frees the specification and the units of an ended job once no member can run any more. */
     #clearEndedJob(job: Job): void {
         if (job.endedAt !== undefined && !hasActiveMembers(job)) {
             job.spec = undefined;
@@ -419,9 +423,9 @@
 }
 
 /**
- * Gives how many occurrences a job has.
+ * Counts the occurrences of a job.
  *
- * @param job A job whose steps are still known.
+ * @param job A job that still has its specification.
  * @returns The count, at least 1.
  */
 export function countOccurrences(job: Job): number {
@@ -429,11 +433,11 @@
 }
 
 /**
- * Tells whether a step of an occurrence has all its units done.
+ * Tells whether all units of a step are done.
  *
  * @param occurrence The occurrence.
- * @param stepIndex The step's number.
- * @returns True when nothing of it is left to run.
+ * @param stepIndex The step's index in the job's specification.
+ * @returns True if every unit is done; false if the step does not exist.
  */
 export function isStepDone(occurrence: Occurrence, stepIndex: number): boolean {
     return occurrence.steps[stepIndex]?.every((unit) => unit.isDone) ?? false;
@@ -454,7 +458,7 @@
     );
 }
 
-/** Nothing of it can run any more: it is only forgotten, as a whole. */
+/** Tells whether no fact changes the job any more, other than its removal. */
 function isImmutable(job: Job): boolean {
     return job.endedAt !== undefined && job.occurrences.size === 0;
 }
--- a/job/state_store_test.ts
+++ b/job/state_store_test.ts
@@ -49,7 +49,7 @@
     t.is(store.findUnit(UNIT)?.members.size, 1);
 });
 
-// Guards against a history of crashes that a new leader or a restored replica does not have.
+// Guards against a new leader or a restored replica that lacks the crash history.
 test("crashes under a unit outlast a copy and a restored state", (t) => {
     const store = buildStore();
     const under = [{ unit: UNIT, attempt: 1, evidence: "sole" as const }];
@@ -68,7 +68,7 @@
     }
 });
 
-// Guards against reports that a restored replica takes for newer than they are, or does not have.
+// Guards against a restored replica that misjudges the age of capacity reports.
 test("what workers' clocks showed outlasts a copy and a restored state, and goes with its worker", (t) => {
     const store = buildStore();
     const heard = { type: "workersHeard" as const, reports: [[WORKER, 4_000] as const] };
@@ -84,7 +84,7 @@
     }
 });
 
-// Guards against lapses that a later leader does not know, or that outlive the question whether the worker crashed.
+// Guards against a new leader that ignores a possible crash, or keeps a resolved one.
 test("attempts given up with a lease outlast a copy and a restored state, until the worker answers or is gone", (t) => {
     const under = [{ unit: UNIT, attempt: 1, evidence: "sole" as const }];
     const seen: Fact = { type: "workerSeen", worker: buildWorkerReport() };
@@ -149,8 +149,7 @@
 });
 
 test("a copy and its original do not see each other's facts, and share what is settled", (t) => {
-    // A new leader decides on a copy ahead of what is agreed on. A unit shared by both would take each
-    // of its facts twice, and count a failed attempt twice.
+    // Guards against a unit shared by both, which would count a failed attempt twice.
     const store = buildStore();
     const settled = "00000000000000c3" as JobId;
     const spec = buildSpec({ count: 1 });
--- a/job/types.ts
+++ b/job/types.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs of steps: what a caller submits, and the durable state of each task.
+ * Types of jobs and workers: what callers submit, and the replicated state.
  *
  * @example
  * ```ts
@@ -14,16 +14,16 @@
 import type { Brand } from "../inventory/mod.ts";
 import type { Crash } from "./crash_history.ts";
 
-/** A job, named by its caller: 16 hexadecimal digits. */
+/** A job's id, chosen by its caller: 16 hexadecimal digits. */
 export type JobId = Brand<string, "JobId">;
-/** One incarnation of a worker. */
+/** The id of one incarnation of a worker. */
 export type WorkerId = Brand<string, "WorkerId">;
-/** A task's full name: job, occurrence, step and index. */
+/** A task's full name, `JOB.OCCURRENCE.STEP.INDEX`. */
 export type TaskName = Brand<string, "TaskName">;
 
-/** Processors, memory and accelerators, needed or offered. */
+/** Amounts of resources that a task requests or a worker offers. */
 export interface Resources {
-    /** Thousandths of a core. */
+    /** CPU in thousandths of a core. */
     readonly cpu: number;
     readonly memoryMb: number;
     readonly gpu: number;
@@ -31,84 +31,84 @@
 
 /** One step of a job. */
 export interface StepSpec {
-    /** How many tasks. */
+    /** Number of tasks. */
     readonly count: number;
-    /** What each task needs. */
+    /** Resource request of each task. */
     readonly needs: Resources;
-    /** The caller's rough estimate of a task's duration, in ms. */
+    /** The caller's estimate of a task's duration, in ms. */
     readonly estimateMs: number;
-    /** Earlier steps whose tasks must all be done first. */
+    /** Indexes of earlier steps that must be done before this one starts. */
     readonly after: readonly number[];
-    /** The tasks work only together; one end stands for all. */
+    /** The tasks are co-scheduled as a gang: they start together and are retried together. */
     readonly isGang: boolean;
-    /** The gang is much slower across racks. */
+    /** The gang should run within one rack; it is much slower across racks. */
     readonly isRackLocal: boolean;
-    /** A label that the worker must carry. */
+    /** A label that the worker must have. */
     readonly requiredLabel: string | undefined;
-    /** The rack that holds the data; elsewhere the task is slower. */
+    /** The rack that holds the data; tasks on other racks are slower. */
     readonly preferredRack: string | undefined;
-    /** At most this many tasks of the step on one worker; 0 for no limit. */
+    /** Maximum number of tasks of the step on one worker; 0 for no limit. */
     readonly maxPerWorker: number;
-    /** Its tasks write checkpoints that another attempt resumes from. */
+    /** The tasks write checkpoints, from which a later attempt resumes. */
     readonly savesProgress: boolean;
-    /** Copies may run side by side; the first to finish counts. */
+    /** Tasks may be executed speculatively; the first copy to finish counts. */
     readonly isSpeculative: boolean;
-    /** Its tasks run until the job is cancelled and are started again however they end. */
+    /** The tasks run until the job is cancelled and are restarted however they end. */
     readonly isPerpetual: boolean;
-    /** What the tasks run; tasks of the same image behave alike. */
+    /** The image that the tasks run; tasks of one image are assumed to behave alike. */
     readonly image: string;
-    /** The response time that a serving task's tail must stay below, in ms; 0 for none. */
+    /** Target for the tail latency of a serving task, in ms; 0 for none. */
     readonly targetMs: number;
-    /** Its processors are not counted: the tasks take what the others leave. */
+    /** The tasks are best-effort: they use leftover CPU and reserve none. */
     readonly isFiller: boolean;
-    /** How many perpetual tasks the scheduler may take away at the same time. */
+    /** Maximum number of perpetual tasks that the scheduler may evict at the same time. */
     readonly maxAbsent: number;
 }
 
 /** What a caller submits. */
 export interface JobSpec {
-    /** Passed on to every task as it is. */
+    /** Opaque data that every task receives. */
     readonly payload: string;
     readonly steps: readonly StepSpec[];
-    /** How many times the steps run at set times; 0 for once, at once. */
+    /** Number of scheduled occurrences; 0 to run the steps once, immediately. */
     readonly repeats: number;
-    /** When the first occurrence is due, in ms since 1970. */
+    /** Due time of the first occurrence, in ms since 1970. */
     readonly firstAtMs: number;
-    /** Time between two occurrences, in ms. */
+    /** Interval between two occurrences, in ms. */
     readonly periodMs: number;
 }
 
-/** A job's state as callers see it. */
+/** The state of a job as reported to callers. */
 export type JobState = "queued" | "running" | "complete" | "failed" | "cancelled";
 
 /**
- * How one member of an attempt ended. `lost` and `void` are the scheduler's own findings: the
- * worker went away with it; it never ran and never will.
+ * How one member of an attempt ended. `lost` and `void` are set by the scheduler: the worker was
+ * lost while it may have run, or it never ran and cannot start any more.
  */
 export type MemberOutcome =
     "done" | "failed" | "stopped" | "lapsed" | "broken" | "alone" | "lost" | "void";
 
 /**
- * What is placed and retried as one: a single task, or all tasks of a gang. Its attempts follow
- * one another; none starts before every member of the last one has ended.
+ * The unit of placement and retry: a single task, or all tasks of a gang. An attempt starts only
+ * after every member of the previous one has ended.
  */
 export interface Unit {
-    /** The newest attempt's number; 0 before the first. */
+    /** The latest attempt's number; 0 before the first. */
     attempt: number;
-    /** Attempts that ended with a failure. */
+    /** Number of failed attempts. */
     failures: number;
-    /** The newest checkpoint; empty when there is none. */
+    /** The latest checkpoint; empty if there is none. */
     checkpoint: string;
     isDone: boolean;
-    /** A member of the attempt under way failed. */
+    /** Whether a member of the current attempt failed. */
     hasFailedMember: boolean;
-    /** Attempts under which a worker crashed, as far as they may have caused it. */
+    /** Attempts that may have crashed a worker. */
     crashes: readonly Crash[];
-    /** Members of the attempt under way that may still run: task index to worker. */
+    /** Members of the current attempt that may still run: task index to worker. */
     readonly members: Map<number, WorkerId>;
 }
 
-/** Names one unit. */
+/** Identifies one unit. */
 export interface UnitRef {
     readonly job: JobId;
     readonly occurrence: number;
@@ -117,7 +117,7 @@
     readonly unit: number;
 }
 
-/** Names one task. */
+/** Identifies one task. */
 export interface TaskRef {
     readonly job: JobId;
     readonly occurrence: number;
@@ -125,18 +125,18 @@
     readonly index: number;
 }
 
-/** One run of a job's steps. */
+/** One execution of all steps of a job. */
 export interface Occurrence {
-    /** Units per step. */
+    /** The units of each step, by step index. */
     readonly steps: Unit[][];
 }
 
-/** A job's durable state. */
+/** The replicated state of a job. */
 export interface Job {
     readonly id: JobId;
     readonly queue: QueueName;
     readonly pool: PoolName;
-    /** Dropped with the occurrences once the job has ended and nothing of it runs. */
+    /** Removed with the occurrences once the job has ended and no member can run any more. */
     spec: JobSpec | undefined;
     readonly acceptedAt: number;
     state: JobState;
@@ -144,31 +144,31 @@
     readonly occurrences: Map<number, Occurrence>;
 }
 
-/** What a worker tells of itself. */
+/** What a worker reports about itself. */
 export interface WorkerReport {
     readonly id: WorkerId;
     readonly address: string;
     readonly pool: PoolName;
     readonly zone: string;
-    /** What it has now; it may shrink and grow again. */
+    /** The current capacity, which may shrink and grow. */
     readonly capacity: Resources;
     readonly labels: readonly string[];
-    /** The instance that it is one incarnation of; empty when the worker does not say. */
+    /** The instance that the worker is an incarnation of; empty if not reported. */
     readonly instance: string;
-    /** It announced its end: it takes no new work. */
+    /** Whether the worker announced its shutdown and accepts no new tasks. */
     readonly isDraining: boolean;
 }
 
-/** A worker's durable record. */
+/** The replicated state of a worker. */
 export interface WorkerRecord extends WorkerReport {
-    /** The largest room that it had so far: what it can be expected to have again. */
+    /** The largest capacity reported so far, for each resource. */
     readonly fullCapacity: Resources;
 }
 
 const JOB_ID_PATTERN = /^[0-9a-f]{16}$/;
 
 /**
- * Tells whether a text names a job.
+ * Tells whether a text is a valid job id.
  *
  * @param text The text.
  * @returns True for 16 hexadecimal digits.
