--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -313,7 +313,7 @@
 
     async #updateReachability(): Promise<void> {
         if (await this.#reachability.update()) {
-            this.#options.log.warn("way to the leader changed", {
+            this.#options.log.warn("leader reachability changed", {
                 reach: this.#reachability.state,
                 silentMs: Math.round(this.#reachability.leaderSilentMs),
             });
@@ -402,7 +402,9 @@
                 this.#reachability.setPeers(answer.peers);
             }
         } catch (error) {
-            this.#options.log.warn("no leader greeted", { error: (error as Error).message });
+            this.#options.log.warn("hello call to the leader failed", {
+                error: (error as Error).message,
+            });
         }
         this.#isSendingHello = false;
     }
--- a/front/daemon_test.ts
+++ b/front/daemon_test.ts
@@ -101,7 +101,7 @@
     return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-test("a front that is cut off from the leader has another front carry its calls", async (t) => {
+test("a front that is partitioned from the leader relays calls through another front", async (t) => {
     const fixture = await startFronts(t, true);
     t.deepEqual(await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS), {
         type: "cancelled",
@@ -121,7 +121,7 @@
     t.is(fixture.countCalls(), 3);
 });
 
-test("in an outage of all control instances a call waits until they are back", async (t) => {
+test("a call waits through an outage of all control instances", async (t) => {
     const fixture = await startFronts(t, false);
     fixture.relay.setMode("refuse");
     await wait(ISOLATION_DETECTION_MS);
@@ -132,7 +132,7 @@
     t.deepEqual(await answer, { type: "cancelled" });
 });
 
-test("a front that hears nobody sends its callers away at once", async (t) => {
+test("an isolated front rejects calls early, with a retry delay until the load balancer's failover", async (t) => {
     const fixture = await startFronts(t, false);
     fixture.relay.close();
     await fixture.other.stop();
@@ -149,7 +149,7 @@
     t.is(later.type === "unreached" ? later.retryAfterMs : undefined, 0);
 });
 
-test("a question about a queue is not held through an outage, one about a job is", async (t) => {
+test("a query about a job waits through an outage, a query about a queue does not", async (t) => {
     // Guards against answers that seem to go back to an older configuration after an outage.
     const fixture = await startFronts(t, false);
     fixture.relay.setMode("refuse");
--- a/front/leader_reachability_test.ts
+++ b/front/leader_reachability_test.ts
@@ -17,28 +17,28 @@
     return { address: `front-${zone}:1`, zone };
 }
 
-test("a front of any zone that hears the leader carries the calls", (t) => {
+test("a front of any zone that reaches the leader is used as a relay", (t) => {
     const answers = [buildAnswer("b", undefined), buildAnswer(ZONE, true)];
     t.deepEqual(classifyAnswers(answers, ZONE), { type: "relay", address: "front-a:1" });
 });
 
-test("fronts elsewhere that hear no leader either mean an outage, which calls wait out", (t) => {
+test("an outage is assumed if a front of another zone cannot reach the leader either", (t) => {
     const answers = [buildAnswer("b", false), buildAnswer("c", undefined)];
     t.deepEqual(classifyAnswers(answers, ZONE), { type: "outage" });
 });
 
-test("a zone whose fronts hear only each other is cut off", (t) => {
+test("a zone is isolated if only its own fronts answer", (t) => {
     const answers = [buildAnswer(ZONE, false), buildAnswer("b", undefined)];
     t.deepEqual(classifyAnswers(answers, ZONE), { type: "isolated" });
 });
 
-test("in a deployment of one zone its own fronts are the witnesses", (t) => {
+test("in a deployment of one zone the answers of its own fronts decide", (t) => {
     t.deepEqual(classifyAnswers([buildAnswer(ZONE, false)], ZONE), { type: "outage" });
     t.deepEqual(classifyAnswers([buildAnswer(ZONE, undefined)], ZONE), { type: "isolated" });
     t.deepEqual(classifyAnswers([], ZONE), { type: "outage" });
 });
 
-test("peers are asked only while the leader is silent, and forgotten when it answers", async (t) => {
+test("peers are probed only while the leader is silent, and the result is discarded afterwards", async (t) => {
     let now = 1_000;
     let probes = 0;
     const reachability = new LeaderReachability({
@@ -81,7 +81,7 @@
     return { reachability, found };
 }
 
-test("after an outage a front goes to the new leader itself, not through the first one that heard it", async (t) => {
+test("after an outage a front connects to the new leader directly instead of through a relay", async (t) => {
     // Guards against one front relaying the calls of all others after an outage.
     const { reachability, found } = buildReachability(true);
     await reachability.update();
@@ -89,7 +89,7 @@
     t.deepEqual(found, ["core-1:1"]);
 });
 
-test("a front that can't connect to the leader that others hear has them carry its calls", async (t) => {
+test("a front that cannot connect to the leader uses a peer that reaches it as a relay", async (t) => {
     const { reachability, found } = buildReachability(false);
     await reachability.update();
     t.deepEqual(reachability.state, { type: "relay", address: "front-b:1" });
--- a/job/state_store_test.ts
+++ b/job/state_store_test.ts
@@ -41,7 +41,7 @@
     t.is(store.jobs.get(JOB)?.spec, undefined);
 });
 
-test("an end of an earlier attempt changes nothing", (t) => {
+test("an end report of an earlier attempt is ignored", (t) => {
     const store = buildStore();
     store.apply({ at: 2, facts: [buildAttempt(1), buildEnd(1, "lost"), buildAttempt(2)] });
     store.apply({ at: 3, facts: [buildEnd(1, "done")] });
@@ -50,7 +50,7 @@
 });
 
 // Guards against a new leader or a restored replica that lacks the crash history.
-test("crashes under a unit outlast a copy and a restored state", (t) => {
+test("a unit's crash history survives a copy and a snapshot", (t) => {
     const store = buildStore();
     const under = [{ unit: UNIT, attempt: 1, evidence: "sole" as const }];
     store.apply({
@@ -69,7 +69,7 @@
 });
 
 // Guards against a restored replica that misjudges the age of capacity reports.
-test("what workers' clocks showed outlasts a copy and a restored state, and goes with its worker", (t) => {
+test("a worker's report clock survives a copy and a snapshot until the worker is removed", (t) => {
     const store = buildStore();
     const heard = { type: "workersHeard" as const, reports: [[WORKER, 4_000] as const] };
     store.apply({ at: 2, facts: [heard] });
@@ -85,7 +85,7 @@
 });
 
 // Guards against a new leader that ignores a possible crash, or keeps a resolved one.
-test("attempts given up with a lease outlast a copy and a restored state, until the worker answers or is gone", (t) => {
+test("attempts on an expired lease survive a snapshot until the worker answers or is removed", (t) => {
     const under = [{ unit: UNIT, attempt: 1, evidence: "sole" as const }];
     const seen: Fact = { type: "workerSeen", worker: buildWorkerReport() };
     const lapsed: Fact = { type: "workerLapsed", worker: WORKER, under };
@@ -102,7 +102,7 @@
     }
 });
 
-test("a gang's crashed workers count once an attempt, with the strongest evidence", (t) => {
+test("crashes of a gang's workers count once per attempt, with the strongest evidence", (t) => {
     const early = addCrash([], { attempt: 1, evidence: "early" }, false);
     t.deepEqual(addCrash(early, { attempt: 1, evidence: "sole" }, false), [
         { attempt: 1, evidence: "sole" },
@@ -110,7 +110,7 @@
     t.is(addCrash(early, { attempt: 1, evidence: "late" }, false), early);
 });
 
-test("a run that outlasted its start takes the weight off earlier crashes, and clears a lasting task", (t) => {
+test("an attempt that runs past startup downgrades earlier crashes, and clears a perpetual task", (t) => {
     const early = addCrash([], { attempt: 1, evidence: "sole" }, false);
     t.deepEqual(addCrash(early, { attempt: 2, evidence: "late" }, false), [
         { attempt: 1, evidence: "late" },
@@ -119,7 +119,7 @@
     t.deepEqual(addCrash(early, { attempt: 2, evidence: "late" }, true), []);
 });
 
-test("a gang's attempt counts once, however many members failed", (t) => {
+test("a gang's attempt counts as one failure, however many members failed", (t) => {
     const store = buildStore(buildSpec({ count: 3, isGang: true }));
     store.apply({ at: 2, facts: [buildAttempt(1, [0, 1, 2])] });
     store.apply({
@@ -129,7 +129,7 @@
     t.is(store.findUnit(UNIT)?.failures, 1);
 });
 
-test("a cancelled job keeps what still runs until its end is known", (t) => {
+test("a cancelled job keeps its running members until their ends are reported", (t) => {
     const store = buildStore();
     store.apply({ at: 2, facts: [buildAttempt(1), { type: "jobCancelled", job: JOB }] });
     t.is(store.jobs.get(JOB)?.state, "cancelled");
@@ -138,7 +138,7 @@
     t.is(store.jobs.get(JOB)?.occurrences.size, 0);
 });
 
-test("a restored ledger goes on as the one it was taken from", (t) => {
+test("a restored store equals the original and applies further facts", (t) => {
     const store = buildStore();
     store.apply({ at: 2, facts: [buildAttempt(1)] });
     const copy = new StateStore();
@@ -148,7 +148,7 @@
     t.is(copy.jobs.get(JOB)?.state, "complete");
 });
 
-test("a copy and its original do not see each other's facts, and share what is settled", (t) => {
+test("a copy is independent of its original, but shares immutable jobs", (t) => {
     // Guards against a unit shared by both, which would count a failed attempt twice.
     const store = buildStore();
     const settled = "00000000000000c3" as JobId;
@@ -174,7 +174,7 @@
     t.is(copy.jobs.get(JOB)?.state, "running");
 });
 
-test("a copy of thousands of jobs takes a fraction of the time of its encoded form", (t) => {
+test("copying thousands of jobs is at least 3 times faster than encoding and restoring them", (t) => {
     const store = new StateStore();
     const facts: Fact[] = [];
     for (let i = 0; i < 5_000; i++) {
@@ -191,10 +191,13 @@
     const encodedMs = performance.now() - startedAt;
     t.is(store.copy().jobs.size, 5_000);
     const copyMs = performance.now() - startedAt - encodedMs;
-    t.true(3 * copyMs < encodedMs, `${copyMs} ms against ${encodedMs} ms`);
+    t.true(
+        3 * copyMs < encodedMs,
+        `copying took ${copyMs} ms, encoding and restoring ${encodedMs} ms`,
+    );
 });
 
-test("ended jobs are forgotten only after their time", (t) => {
+test("only jobs that ended before the retention limit are removed", (t) => {
     const store = buildStore();
     store.apply({ at: 100, facts: [{ type: "jobCancelled", job: JOB }] });
     store.apply({ at: 150, facts: [{ type: "jobsForgotten", before: 100 }] });
