--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -218,7 +218,7 @@
         const effectiveBudgetMs = isJobCall(call)
             ? budgetMs
             : Math.min(budgetMs, QUEUE_QUERY_TIMEOUT_MS);
-        const outcome = await this.#carryCall(call, effectiveBudgetMs);
+        const outcome = await this.#forwardCall(call, effectiveBudgetMs);
         this.#options.metrics?.callSeconds.observe(
             { call: call.type, outcome: outcome.type },
             (performance.now() - startedAtMs) / 1_000,
@@ -226,7 +226,7 @@
         return outcome;
     }
 
-    async #carryCall(call: CallerCall, budgetMs: number): Promise<CallOutcome> {
+    async #forwardCall(call: CallerCall, budgetMs: number): Promise<CallOutcome> {
         const startedAtMs = performance.now();
         const replicaAnswer = call.type === "state" ? await this.#readState(call) : undefined;
         if (replicaAnswer !== undefined) {
--- a/front/daemon_test.ts
+++ b/front/daemon_test.ts
@@ -22,11 +22,11 @@
 const ISOLATION_DETECTION_MS = 1_400;
 
 interface Fixture {
-    readonly relay: FaultRelay;
+    readonly faultRelay: FaultRelay;
     /** The front of zone a, which reaches the leader through the fault relay. */
     readonly front: FrontDaemon;
     /** The front of zone b. */
-    readonly other: FrontDaemon;
+    readonly otherFront: FrontDaemon;
     readonly countCalls: () => number;
 }
 
@@ -37,30 +37,34 @@
     let calls = 0;
     const leader = await startRpcServer({
         methods: {
-            [METHODS.hello]: (params) => buildHello(peers, params as HelloCall),
+            [METHODS.hello]: (params) => buildHelloAnswer(peers, params as HelloCall),
             [METHODS.callers]: () => {
                 calls += 1;
                 return { type: "cancelled" };
             },
         },
     });
-    const relay = await FaultRelay.start();
-    relay.setTarget(leader.address);
-    const front = buildFront("a", address, relay.address);
-    const other = buildFront("b", otherAddress, isOtherDirect ? leader.address : relay.address);
-    await other.start();
+    const faultRelay = await FaultRelay.start();
+    faultRelay.setTarget(leader.address);
+    const front = buildFront("a", address, faultRelay.address);
+    const otherFront = buildFront(
+        "b",
+        otherAddress,
+        isOtherDirect ? leader.address : faultRelay.address,
+    );
+    await otherFront.start();
     await front.start();
     t.teardown(async () => {
         await front.stop();
-        await other.stop();
-        relay.close();
+        await otherFront.stop();
+        faultRelay.close();
         await leader.close();
     });
-    await waitFor(() => front.isReady && other.isReady);
-    return { relay, front, other, countCalls: () => calls };
+    await waitFor(() => front.isReady && otherFront.isReady);
+    return { faultRelay, front, otherFront, countCalls: () => calls };
 }
 
-function buildHello(peers: readonly PeerFront[], call: HelloCall): HelloAnswer {
+function buildHelloAnswer(peers: readonly PeerFront[], call: HelloCall): HelloAnswer {
     return {
         leader: "",
         members: [],
@@ -106,7 +110,7 @@
     t.deepEqual(await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS), {
         type: "cancelled",
     });
-    fixture.relay.setMode("silent");
+    fixture.faultRelay.setMode("silent");
     t.deepEqual(await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS), {
         type: "cancelled",
     });
@@ -123,19 +127,19 @@
 
 test("a call waits through an outage of all control instances", async (t) => {
     const fixture = await startFronts(t, false);
-    fixture.relay.setMode("refuse");
+    fixture.faultRelay.setMode("refuse");
     await wait(ISOLATION_DETECTION_MS);
     t.false(fixture.front.isReady);
     const answer = fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS);
     await wait(800);
-    fixture.relay.setMode("open");
+    fixture.faultRelay.setMode("open");
     t.deepEqual(await answer, { type: "cancelled" });
 });
 
 test("an isolated front rejects calls early, with a retry delay until the load balancer's failover", async (t) => {
     const fixture = await startFronts(t, false);
-    fixture.relay.close();
-    await fixture.other.stop();
+    fixture.faultRelay.close();
+    await fixture.otherFront.stop();
     await wait(ISOLATION_DETECTION_MS);
     const startedAt = performance.now();
     const answer = await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS);
@@ -152,7 +156,7 @@
 test("a query about a job waits through an outage, a query about a queue does not", async (t) => {
     // Guards against answers that seem to go back to an older configuration after an outage.
     const fixture = await startFronts(t, false);
-    fixture.relay.setMode("refuse");
+    fixture.faultRelay.setMode("refuse");
     await wait(ISOLATION_DETECTION_MS);
     const startedAt = performance.now();
     const count: CallerCall = { type: "state", host: "studio.example", path: "/p/" };
@@ -162,6 +166,6 @@
     const state: CallerCall = { ...count, path: "/p/00000000000000a1" };
     const held = fixture.front.handleCaller(state, CALL_TIMEOUT_MS);
     await wait(600);
-    fixture.relay.setMode("open");
+    fixture.faultRelay.setMode("open");
     t.deepEqual(await held, { type: "cancelled" });
 });
--- a/front/leader_reachability.ts
+++ b/front/leader_reachability.ts
@@ -123,7 +123,7 @@
         }
         this.#isProbing = true;
         this.#probedAtMs = nowMs;
-        const answers = await Promise.all(this.#peers.map((peer) => this.#callPeer(peer)));
+        const answers = await Promise.all(this.#peers.map((peer) => this.#probePeer(peer)));
         this.#isProbing = false;
         const previousState = this.#probedState;
         this.#probedState = await this.#resolveState(answers);
@@ -148,7 +148,7 @@
         return { type: "outage" };
     }
 
-    async #callPeer(peer: PeerFront): Promise<PeerAnswer> {
+    async #probePeer(peer: PeerFront): Promise<PeerAnswer> {
         const answer = await this.#options.probe(peer.address).catch(() => undefined);
         return { peer, hearsLeader: answer?.hearsLeader, leader: answer?.leader };
     }
--- a/front/leader_reachability_test.ts
+++ b/front/leader_reachability_test.ts
@@ -65,33 +65,33 @@
 
 interface ReachabilityFixture {
     readonly reachability: LeaderReachability;
-    readonly found: string[];
+    readonly foundLeaders: string[];
 }
 
 /** Creates the state of a front that has not reached the leader, with a peer that has. */
 function buildReachability(canConnect: boolean): ReachabilityFixture {
-    const found: string[] = [];
+    const foundLeaders: string[] = [];
     const reachability = new LeaderReachability({
         zone: ZONE,
         probe: () => Promise.resolve({ hearsLeader: true, leader: "core-1:1" }),
         canConnect: () => Promise.resolve(canConnect),
-        onLeaderFound: (leader) => found.push(leader),
+        onLeaderFound: (leader) => foundLeaders.push(leader),
     });
     reachability.setPeers([buildPeer("b")]);
-    return { reachability, found };
+    return { reachability, foundLeaders };
 }
 
 test("after an outage a front connects to the new leader directly instead of through a relay", async (t) => {
     // Guards against one front relaying the calls of all others after an outage.
-    const { reachability, found } = buildReachability(true);
+    const { reachability, foundLeaders } = buildReachability(true);
     await reachability.update();
     t.deepEqual(reachability.state, { type: "outage" });
-    t.deepEqual(found, ["core-1:1"]);
+    t.deepEqual(foundLeaders, ["core-1:1"]);
 });
 
 test("a front that cannot connect to the leader uses a peer that reaches it as a relay", async (t) => {
-    const { reachability, found } = buildReachability(false);
+    const { reachability, foundLeaders } = buildReachability(false);
     await reachability.update();
     t.deepEqual(reachability.state, { type: "relay", address: "front-b:1" });
-    t.deepEqual(found, []);
+    t.deepEqual(foundLeaders, []);
 });
--- a/job/state_store_test.ts
+++ b/job/state_store_test.ts
@@ -71,10 +71,13 @@
 // Guards against a restored replica that misjudges the age of capacity reports.
 test("a worker's report clock survives a copy and a snapshot until the worker is removed", (t) => {
     const store = buildStore();
-    const heard = { type: "workersHeard" as const, reports: [[WORKER, 4_000] as const] };
-    store.apply({ at: 2, facts: [heard] });
+    const clockReport = { type: "workersHeard" as const, reports: [[WORKER, 4_000] as const] };
+    store.apply({ at: 2, facts: [clockReport] });
     t.is(store.lastReportClocksMs.size, 0);
-    store.apply({ at: 3, facts: [{ type: "workerSeen", worker: buildWorkerReport() }, heard] });
+    store.apply({
+        at: 3,
+        facts: [{ type: "workerSeen", worker: buildWorkerReport() }, clockReport],
+    });
     const restored = new StateStore();
     restored.restore(store.encode());
     for (const other of [store, store.copy(), restored]) {
@@ -88,10 +91,10 @@
 test("attempts on an expired lease survive a snapshot until the worker answers or is removed", (t) => {
     const under = [{ unit: UNIT, attempt: 1, evidence: "sole" as const }];
     const seen: Fact = { type: "workerSeen", worker: buildWorkerReport() };
-    const lapsed: Fact = { type: "workerLapsed", worker: WORKER, under };
+    const leaseExpired: Fact = { type: "workerLapsed", worker: WORKER, under };
     for (const end of ["workerAnswered", "workerGone"] as const) {
         const store = buildStore();
-        store.apply({ at: 2, facts: [seen, lapsed] });
+        store.apply({ at: 2, facts: [seen, leaseExpired] });
         const restored = new StateStore();
         restored.restore(store.encode());
         for (const other of [store, store.copy(), restored]) {
@@ -151,20 +154,20 @@
 test("a copy is independent of its original, but shares immutable jobs", (t) => {
     // Guards against a unit shared by both, which would count a failed attempt twice.
     const store = buildStore();
-    const settled = "00000000000000c3" as JobId;
+    const endedJob = "00000000000000c3" as JobId;
     const spec = buildSpec({ count: 1 });
     store.apply({
         at: 2,
         facts: [
             buildAttempt(1),
-            { type: "jobAccepted", job: settled, queue: QUEUE, pool: POOL, spec },
-            { type: "jobCancelled", job: settled },
+            { type: "jobAccepted", job: endedJob, queue: QUEUE, pool: POOL, spec },
+            { type: "jobCancelled", job: endedJob },
             { type: "workerGone", worker: WORKER },
         ],
     });
     const copy = store.copy();
     t.is(copy.encode(), store.encode());
-    t.is(copy.jobs.get(settled), store.jobs.get(settled));
+    t.is(copy.jobs.get(endedJob), store.jobs.get(endedJob));
     t.true(copy.isRemovedWorker(WORKER));
     copy.apply({ at: 3, facts: [buildEnd(1, "failed")] });
     t.is(copy.findUnit(UNIT)?.failures, 1);
