--- a/control/_fixtures.ts
+++ b/control/_fixtures.ts
@@ -32,24 +32,24 @@
 
 /** Options of {@link ClusterFixture}. */
 export interface ClusterOptions {
-    readonly members: number;
-    readonly workers: number;
+    readonly memberCount: number;
+    readonly workerCount: number;
     readonly taskMs?: number;
     /** Timings of the group; those of a small deployment by default. */
     readonly timings?: ConsensusTimings;
     /** So many of the members are the seeds at first; all by default. */
-    readonly seeds?: number;
+    readonly seedCount?: number;
 }
 
 /** How often a stand-in worker looks for an end while a look waits, in ms. */
-const WAIT_STEP_MS = 10;
-const POLL_MS = 25;
+const WORKER_POLL_INTERVAL_MS = 10;
+const CONDITION_POLL_INTERVAL_MS = 25;
 
 /** One cluster. */
 export class ClusterFixture {
     readonly daemons = new Map<string, ControlDaemon>();
     readonly workers = new Map<WorkerId, TaskWorker>();
-    readonly runs: string[] = [];
+    readonly startedTasks: string[] = [];
     readonly #dir = mkdtempSync(join(tmpdir(), "poplarhead-control-"));
     readonly #addresses: readonly string[];
     /** What the settings files name; a test may exchange them. */
@@ -63,10 +63,10 @@
 
     private constructor(options: ClusterOptions, addresses: readonly string[]) {
         this.#options = options;
-        this.#addresses = addresses.slice(0, options.members);
-        this.seeds = this.#addresses.slice(0, options.seeds);
+        this.#addresses = addresses.slice(0, options.memberCount);
+        this.seeds = this.#addresses.slice(0, options.seedCount);
         this.front = new FrontDaemon({
-            address: addresses[options.members] ?? "",
+            address: addresses[options.memberCount] ?? "",
             zone: "z",
             listSeeds: () => this.seeds,
             adviceCalls: {
@@ -80,10 +80,10 @@
     /** Starts a cluster. */
     static async start(options: ClusterOptions): Promise<ClusterFixture> {
         const addresses = await Promise.all(
-            Array.from({ length: options.members + 1 }, () => findFreeAddress()),
+            Array.from({ length: options.memberCount + 1 }, () => findFreeAddress()),
         );
         const cluster = new ClusterFixture(options, addresses);
-        for (let i = 0; i < options.workers; i++) {
+        for (let i = 0; i < options.workerCount; i++) {
             cluster.#addWorker(`w${i + 1}` as WorkerId);
         }
         await Promise.all(cluster.#addresses.map((address) => cluster.startMember(address, true)));
@@ -101,9 +101,9 @@
             listSeeds: () => this.seeds,
             bootstrap,
             dataDir: join(this.#dir, address.replace(":", "-")),
-            tolerated: 1,
+            toleratedFailures: 1,
             timings: this.#options.timings,
-            workerCalls: this.#createCalls(),
+            workerCalls: this.#createWorkerCalls(),
             log: this.#createLog(address),
         });
         await daemon.start();
@@ -125,7 +125,7 @@
     }
 
     /** The address of the member that leads, once there is one. */
-    async waitLeader(): Promise<string> {
+    async waitForLeader(): Promise<string> {
         let found: string | undefined;
         await waitUntil(() => {
             found = [...this.daemons].find(([, daemon]) => daemon.isServing)?.[0];
@@ -149,7 +149,7 @@
             getNow: () => performance.now(),
             computeTaskMs: () => this.#options.taskMs ?? 100,
             getRoom: () => ({ cpu: 1_000, memoryMb: 1_000, gpu: 0 }),
-            onRun: (run) => this.runs.push(run.task),
+            onRun: (run) => this.startedTasks.push(run.task),
         });
         this.workers.set(id, worker);
     }
@@ -181,7 +181,7 @@
         return createLogger({ process: name, zone: "z", sink });
     }
 
-    #createCalls(): WorkerCalls {
+    #createWorkerCalls(): WorkerCalls {
         const find = (id: WorkerId): TaskWorker => this.workers.get(id) as TaskWorker;
         return {
             start: (order): Promise<OrderAnswer> =>
@@ -189,18 +189,18 @@
             stop: (order): Promise<OrderAnswer> => Promise.resolve(find(order.worker).stop(order)),
             pace: (): Promise<OrderAnswer> =>
                 Promise.resolve({ type: "accepted", clockMs: undefined }),
-            look: (order): Promise<LookAnswer> => waitForEnd(find(order.worker), order),
+            poll: (order): Promise<LookAnswer> => waitForEnd(find(order.worker), order),
         };
     }
 }
 
 /** What a test decides about a leadership without a group. */
 export interface LeadershipFixtureOptions {
-    readonly waitServing: () => Promise<boolean>;
+    readonly waitForLease: () => Promise<boolean>;
     /** Takes the name of each task whose start reaches its worker. */
-    readonly onOrder: (task: string) => void;
+    readonly onStart: (task: string) => void;
     /** Takes log lines. */
-    readonly onLine: (lines: string) => void;
+    readonly onLogLines: (lines: string) => void;
 }
 
 /** Builds the leadership of a group of one, with a worker that answers everything at once. */
@@ -208,10 +208,10 @@
     readonly leadership: Leadership;
     readonly sink: LogSink;
 } {
-    const durable = new StateStore();
+    const committedState = new StateStore();
     const configuration = { ...buildConfiguration(1), queues: [buildQueue()] };
     const worker = buildWorkerReport();
-    durable.apply({
+    committedState.apply({
         at: 0,
         facts: [
             { type: "configurationSet", configuration },
@@ -220,18 +220,18 @@
     });
     const sink = new LogSink({
         writeBytes: (_fd, bytes, done) => {
-            options.onLine(bytes.toString("utf8"));
+            options.onLogLines(bytes.toString("utf8"));
             done(null, bytes.length);
         },
     });
     const leadership = new Leadership({
-        durable,
-        states: new StateReader(durable),
-        propose: (batch) => Promise.resolve(durable.apply(batch)),
-        waitServing: options.waitServing,
+        committedState,
+        stateReader: new StateReader(committedState),
+        propose: (batch) => Promise.resolve(committedState.apply(batch)),
+        waitForLease: options.waitForLease,
         term: 1,
         clock: { getNow: () => performance.now(), getWall: () => Date.now() },
-        workerCalls: createPromptCalls(options.onOrder),
+        workerCalls: createImmediateWorkerCalls(options.onStart),
         advise: () => Promise.resolve({ admissions: undefined }),
         log: createLogger({ process: "c1", zone: "z", sink }),
     });
@@ -244,16 +244,16 @@
     return { leadership, sink };
 }
 
-function createPromptCalls(onOrder: (task: string) => void): WorkerCalls {
+function createImmediateWorkerCalls(onStart: (task: string) => void): WorkerCalls {
     const accepted: OrderAnswer = { type: "accepted", clockMs: undefined };
     return {
         start: ({ task }) => {
-            onOrder(task);
+            onStart(task);
             return Promise.resolve(accepted);
         },
         stop: () => Promise.resolve(accepted),
         pace: () => Promise.resolve(accepted),
-        look: () => {
+        poll: () => {
             const clockMs = Math.round(performance.now());
             return Promise.resolve({ type: "state", clockMs, running: [], ended: [] });
         },
@@ -272,13 +272,13 @@
 }
 
 /** Waits until a condition holds; gives up after 15 s. */
-export async function waitUntil(isTrue: () => boolean | Promise<boolean>): Promise<void> {
+export async function waitUntil(isMet: () => boolean | Promise<boolean>): Promise<void> {
     const deadline = performance.now() + 15_000;
-    while (!(await isTrue())) {
+    while (!(await isMet())) {
         if (performance.now() > deadline) {
             throw new Error("the condition did not come to hold within 15 s");
         }
-        await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+        await new Promise((resolve) => setTimeout(resolve, CONDITION_POLL_INTERVAL_MS));
     }
 }
 
@@ -290,7 +290,7 @@
         if (hasEnds || performance.now() >= deadline) {
             return answer;
         }
-        await new Promise((resolve) => setTimeout(resolve, WAIT_STEP_MS));
+        await new Promise((resolve) => setTimeout(resolve, WORKER_POLL_INTERVAL_MS));
     }
 }
 
--- a/control/busy_leader_test.ts
+++ b/control/busy_leader_test.ts
@@ -14,8 +14,8 @@
 
 /** So long that a lease (1.6 s) can lapse with 0.35 s to spare before a leader without answers gives up. */
 const TIMINGS: ConsensusTimings = { heartbeatMs: 80, electionMs: 2_000 };
-const LONG_TURN_MS = 1_650;
-const LAPSE_MS = 150;
+const BLOCKED_MS = 1_650;
+const LEASE_LAPSE_MS = 150;
 const JOB = "00000000000000a1";
 
 function buildSubmit(): CallerCall {
@@ -25,15 +25,19 @@
 }
 
 async function startCluster(): Promise<ClusterFixture> {
-    const cluster = await ClusterFixture.start({ members: 3, workers: 1, timings: TIMINGS });
-    const leader = await cluster.waitLeader();
+    const cluster = await ClusterFixture.start({
+        memberCount: 3,
+        workerCount: 1,
+        timings: TIMINGS,
+    });
+    const leader = await cluster.waitForLeader();
     await cluster.daemons.get(leader)?.handleConfigure(buildConfiguration(1));
     return cluster;
 }
 
-function runLongTurn(ms: number): void {
-    const until = performance.now() + ms;
-    while (performance.now() < until) {
+function runBlockingLoop(ms: number): void {
+    const deadlineMs = performance.now() + ms;
+    while (performance.now() < deadlineMs) {
         // Nothing else runs in this process meanwhile.
     }
 }
@@ -43,10 +47,10 @@
     // holds the agreed configuration and reaches no leader: that is all the acknowledgement has to say.
     const cluster = await startCluster();
     t.teardown(() => cluster.stop());
-    const leader = await cluster.waitLeader();
+    const leader = await cluster.waitForLeader();
     await cluster.daemons.get(leader)?.handleConfigure(buildConfiguration(2));
-    const [asked, other] = cluster.addresses.filter((address) => address !== leader);
-    const daemon = cluster.daemons.get(asked as string);
+    const [follower, other] = cluster.addresses.filter((address) => address !== leader);
+    const daemon = cluster.daemons.get(follower as string);
     await waitUntil(() => daemon?.configurationVersion === 2);
     await cluster.stopMember(leader);
     await cluster.stopMember(other as string);
@@ -64,12 +68,12 @@
     // that time; told to look for another leader, the call would come back here and find the same again.
     const cluster = await startCluster();
     t.teardown(() => cluster.stop());
-    const leader = await cluster.waitLeader();
+    const leader = await cluster.waitForLeader();
     const client = new RpcClientPool({ timeoutMs: 5_000 }).getClient(leader);
     await client.call(METHODS.configure, buildConfiguration(2));
     const answer = client.call(METHODS.configure, buildConfiguration(3));
     await new Promise((resolve) => setImmediate(resolve));
-    runLongTurn(LONG_TURN_MS);
+    runBlockingLoop(BLOCKED_MS);
     t.deepEqual(await answer, { type: "acknowledged" });
 });
 
@@ -78,15 +82,16 @@
     // were not sent, and counted as unanswered by their workers: these got nothing more until they were looked at.
     let isLapsed = true;
     const orders: string[] = [];
-    const blamed: string[] = [];
+    const workerFailures: string[] = [];
     const { leadership, sink } = buildLeadership({
-        waitServing: async () => {
-            await new Promise((resolve) => setTimeout(resolve, LAPSE_MS));
+        waitForLease: async () => {
+            await new Promise((resolve) => setTimeout(resolve, LEASE_LAPSE_MS));
             isLapsed = false;
             return true;
         },
-        onOrder: (task) => orders.push(`${task} ${isLapsed ? "lapsed" : "serving"}`),
-        onLine: (line) => blamed.push(...(line.match(/worker silent|start unanswered/g) ?? [])),
+        onStart: (task) => orders.push(`${task} ${isLapsed ? "lapsed" : "serving"}`),
+        onLogLines: (line) =>
+            workerFailures.push(...(line.match(/worker silent|start unanswered/g) ?? [])),
     });
     t.teardown(() => leadership.stop());
     leadership.start();
@@ -94,19 +99,19 @@
     await waitUntil(() => orders.length === 2);
     await sink.close();
     t.deepEqual(orders.sort(), [`${JOB}.0.0.0 serving`, `${JOB}.0.0.1 serving`]);
-    t.deepEqual(blamed, []);
+    t.deepEqual(workerFailures, []);
 });
 
 test("an order is not sent by a leader that leads no more", async (t) => {
     const orders: string[] = [];
     const { leadership } = buildLeadership({
-        waitServing: () => Promise.resolve(false),
-        onOrder: (task) => orders.push(task),
-        onLine: () => {},
+        waitForLease: () => Promise.resolve(false),
+        onStart: (task) => orders.push(task),
+        onLogLines: () => {},
     });
     t.teardown(() => leadership.stop());
     leadership.start();
     await leadership.handleCaller(buildSubmit());
-    await new Promise((resolve) => setTimeout(resolve, LAPSE_MS));
+    await new Promise((resolve) => setTimeout(resolve, LEASE_LAPSE_MS));
     t.deepEqual(orders, []);
 });
--- a/control/calls.ts
+++ b/control/calls.ts
@@ -27,7 +27,7 @@
 export const METHODS = {
     callers: "control.callers",
     heartbeat: "control.heartbeat",
-    signs: "control.signs",
+    keepAlives: "control.signs",
     readState: "control.readState",
     leave: "control.leave",
     configure: "control.configure",
@@ -67,12 +67,12 @@
 export type HeartbeatCall = Heartbeat;
 
 /** Heartbeats that say nothing new, gathered by a member for the leader. */
-export interface SignsCall {
-    readonly signs: readonly LifeSign[];
+export interface KeepAliveBatchCall {
+    readonly signs: readonly KeepAlive[];
 }
 
 /** One heartbeat that says nothing but that the worker lives. */
-export interface LifeSign {
+export interface KeepAlive {
     readonly worker: WorkerId;
     readonly sequence: number;
     readonly clockMs: number | undefined;
@@ -99,7 +99,7 @@
     readonly members: readonly string[];
     /** Where workers and operators reach the leader. */
     readonly publicAddress: string;
-    readonly limits: HelloLimits | undefined;
+    readonly limits: CallerLimits | undefined;
     /** Members that answer for the states of jobs; empty while the leader does it alone. */
     readonly readers: readonly string[];
     /** Some fronts of each zone, where they were asked for. */
@@ -121,14 +121,14 @@
 }
 
 /** Whether a front hears the leader. */
-export interface ReachAnswer {
+export interface ReachabilityAnswer {
     readonly hearsLeader: boolean;
     /** The leader's RPC address, as it gave it. */
     readonly leader?: string;
 }
 
 /** The limits in force for callers. */
-export interface HelloLimits {
+export interface CallerLimits {
     readonly maxBodyBytes: number;
     readonly idleTimeoutMs: number;
 }
@@ -152,7 +152,7 @@
     readonly start: (order: StartOrder, timeoutMs: number) => Promise<OrderAnswer>;
     readonly stop: (order: StopOrder, timeoutMs: number) => Promise<OrderAnswer>;
     readonly pace: (order: PaceOrder, timeoutMs: number) => Promise<OrderAnswer>;
-    readonly look: (order: LookOrder) => Promise<LookAnswer>;
+    readonly poll: (order: LookOrder) => Promise<LookAnswer>;
 }
 
 /** Calls to the advice service. */
--- a/control/clock_guard.ts
+++ b/control/clock_jump_detector.ts
@@ -7,7 +7,7 @@
  *
  * @example
  * ```ts
- * import { ClockGuard } from "./clock_guard.ts";
+ * import { ClockGuard } from "./clock_jump_detector.ts";
  * const guard = new ClockGuard(() => replica.distrustClock());
  * guard.check();
  * ```
@@ -15,42 +15,42 @@
  * @module
  */
 
-/** Time sources of {@link ClockGuard}. */
-export interface ClockGuardClocks {
-    readonly getMonotonic?: () => number;
-    readonly getWall?: () => number;
+/** Time sources of {@link ClockJumpDetector}. */
+export interface ClockSources {
+    readonly getMonotonicMs?: () => number;
+    readonly getWallMs?: () => number;
 }
 
 /**
  * A difference below this is a clock being slewed or read twice, in ms. A suspension this short
  * is below the part of the election timeout that a lease leaves unused (0.2 of 250 ms).
  */
-const TOLERANCE_MS = 40;
+const JUMP_THRESHOLD_MS = 40;
 
 /** Compares the steady clock with the time of day. */
-export class ClockGuard {
+export class ClockJumpDetector {
     readonly #onJump: () => void;
-    readonly #getMonotonic: () => number;
-    readonly #getWall: () => number;
-    #offset: number;
+    readonly #getMonotonicMs: () => number;
+    readonly #getWallMs: () => number;
+    #offsetMs: number;
 
     /**
      * @param onJump Called when the clocks moved apart.
      * @param clocks Time sources, for tests.
      */
-    constructor(onJump: () => void, clocks: ClockGuardClocks = {}) {
+    constructor(onJump: () => void, clocks: ClockSources = {}) {
         this.#onJump = onJump;
-        this.#getMonotonic = clocks.getMonotonic ?? (() => performance.now());
-        this.#getWall = clocks.getWall ?? (() => Date.now());
-        this.#offset = this.#getWall() - this.#getMonotonic();
+        this.#getMonotonicMs = clocks.getMonotonicMs ?? (() => performance.now());
+        this.#getWallMs = clocks.getWallMs ?? (() => Date.now());
+        this.#offsetMs = this.#getWallMs() - this.#getMonotonicMs();
     }
 
     /** Compares the clocks; to be called before anything that rests on the steady clock alone. */
     check(): void {
-        const offset = this.#getWall() - this.#getMonotonic();
-        const jump = offset - this.#offset;
-        this.#offset = offset;
-        if (Math.abs(jump) > TOLERANCE_MS) {
+        const offsetMs = this.#getWallMs() - this.#getMonotonicMs();
+        const jumpMs = offsetMs - this.#offsetMs;
+        this.#offsetMs = offsetMs;
+        if (Math.abs(jumpMs) > JUMP_THRESHOLD_MS) {
             this.#onJump();
         }
     }
--- /dev/null
+++ b/control/clock_jump_detector_test.ts
@@ -0,0 +1,43 @@
+import test from "ava";
+import { ClockJumpDetector } from "./clock_jump_detector.ts";
+
+function buildDetector(): {
+    detector: ClockJumpDetector;
+    clocks: { monotonicMs: number; wallMs: number };
+    jumps: number[];
+} {
+    const clocks = { monotonicMs: 1_000, wallMs: 5_000_000 };
+    const jumps: number[] = [];
+    const detector = new ClockJumpDetector(() => jumps.push(clocks.wallMs), {
+        getMonotonicMs: () => clocks.monotonicMs,
+        getWallMs: () => clocks.wallMs,
+    });
+    return { detector, clocks, jumps };
+}
+
+test("clocks that go on together are trusted", (t) => {
+    const { detector, clocks, jumps } = buildDetector();
+    clocks.monotonicMs += 10_000;
+    clocks.wallMs += 10_020;
+    detector.check();
+    t.is(jumps.length, 0);
+});
+
+test("a suspension is noticed once, at the first look after it", (t) => {
+    // The caller would read an old configuration: the leader slept 4 s, its steady clock stood
+    // still, and by that clock its lease is fresh while another leader has been elected.
+    const { detector, clocks, jumps } = buildDetector();
+    clocks.wallMs += 4_000;
+    detector.check();
+    detector.check();
+    t.is(jumps.length, 1);
+});
+
+test("a step of the time of day costs a confirmation, either way", (t) => {
+    const { detector, clocks, jumps } = buildDetector();
+    clocks.wallMs -= 2_000;
+    detector.check();
+    clocks.wallMs += 2_000;
+    detector.check();
+    t.is(jumps.length, 2);
+});
--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -52,16 +52,16 @@
     type HeartbeatCall,
     type HelloAnswer,
     type HelloCall,
-    type SignsCall,
+    type KeepAliveBatchCall,
     type WorkerCalls,
 } from "./calls.ts";
-import { ClockGuard } from "./clock_guard.ts";
+import { ClockJumpDetector } from "./clock_jump_detector.ts";
 import { Leadership, type ConfigureAnswer } from "./leadership.ts";
-import { MemberTable } from "./member_table.ts";
-import { SignBox } from "./sign_box.ts";
+import { InstanceRegistry } from "./instance_registry.ts";
+import { KeepAliveBatcher } from "./keep_alive_batcher.ts";
 import { StateReader } from "./state_reader.ts";
-import { selectSilenceMs, selectTimings } from "./timings.ts";
-import { VoterRoster } from "./voter_roster.ts";
+import { selectFailoverTimeoutMs, selectTimings } from "./timings.ts";
+import { VoterPlanner } from "./voter_planner.ts";
 
 /** Options of {@link ControlDaemon}. */
 export interface ControlDaemonOptions {
@@ -76,36 +76,36 @@
     readonly bootstrap: boolean;
     readonly dataDir: string;
     /** How many instances may be lost at once; twice as many and one more vote. */
-    readonly tolerated: number;
+    readonly toleratedFailures: number;
     readonly workerCalls: WorkerCalls;
     readonly timings?: ConsensusTimings;
     /** When this process started, in ms on the monotonic clock, if known. */
-    readonly startedAt?: number;
+    readonly processStartedAtMs?: number;
     readonly limits?: Partial<DispatchLimits>;
-    readonly snapshotEvery?: number;
+    readonly batchesPerSnapshot?: number;
     readonly metrics?: ControlMetrics;
     readonly log: Logger;
 }
 
-const GROUP = "control" as GroupId;
+const CONTROL_GROUP_ID = "control" as GroupId;
 /** Time between two greetings to the leader, in ms. */
-const HELLO_MS = 500;
+const HELLO_INTERVAL_MS = 500;
 /**
  * From this many workers on the other members take heartbeats and questions about states for the
  * leader: below, both are less than a tenth of its processor.
  */
-const LARGE_FLOOR_WORKERS = 100;
+const LARGE_DEPLOYMENT_WORKERS = 100;
 /** A replica that has not heard the leader for this long answers for no state, in ms: three heartbeats. */
-const READER_SILENCE_MS = 150;
+const MAX_REPLICA_STALENESS_MS = 150;
 /** Facts batches between two snapshots: some 20 s of a busy day, below 20 MB of log. */
-const DEFAULT_SNAPSHOT_EVERY = 4_000;
+const DEFAULT_BATCHES_PER_SNAPSHOT = 4_000;
 /** How long a worker's or an operator's call may take on its way to the leader, in ms. */
-const FORWARD_BUDGET_MS = 900;
+const FORWARD_TIMEOUT_MS = 900;
 /**
  * Fronts of each zone that a front learns of: one may be cut off or stopping when it is needed. Two of
  * four zones are some 400 bytes, asked for every 5 s.
  */
-const PEERS_PER_ZONE = 2;
+const PEER_FRONTS_PER_ZONE = 2;
 /** A message between members is given up after this, in ms: about one election timeout. */
 const PEER_TIMEOUT_MS = 400;
 
@@ -113,25 +113,25 @@
 export class ControlDaemon {
     readonly #options: ControlDaemonOptions;
     readonly #self: EntryId;
-    readonly #durable = new StateStore();
-    readonly #states = new StateReader(this.#durable);
+    readonly #committedState = new StateStore();
+    readonly #stateReader = new StateReader(this.#committedState);
     readonly #clock = new CellClock();
-    readonly #guard: ClockGuard;
+    readonly #clockJumpDetector: ClockJumpDetector;
     readonly #network: PeerNetwork;
-    readonly #clients = new RpcClientPool({ timeoutMs: FORWARD_BUDGET_MS });
+    readonly #clients = new RpcClientPool({ timeoutMs: FORWARD_TIMEOUT_MS });
     readonly #router: LeaderRouter;
-    readonly #signs = new SignBox({
-        send: (signs) => this.#router.call(METHODS.signs, { signs }, FORWARD_BUDGET_MS),
+    readonly #keepAlives = new KeepAliveBatcher({
+        send: (signs) => this.#router.call(METHODS.keepAlives, { signs }, FORWARD_TIMEOUT_MS),
     });
-    readonly #members = new MemberTable();
-    readonly #roster: VoterRoster;
+    readonly #instances = new InstanceRegistry();
+    readonly #voterPlanner: VoterPlanner;
     #member: GroupMember<FactBatch, void> | undefined;
     #leadership: Leadership | undefined;
     #server: RpcServer | undefined;
-    #greetings: Subscription | undefined;
+    #helloSubscription: Subscription | undefined;
     #leaderPublicAddress: string | undefined;
     /** Calls and orders that came while this leader's lease had lapsed. */
-    readonly #lapses = new CountedLog((fields) =>
+    readonly #leaseLapses = new CountedLog((fields) =>
         this.#options.log.warn("lease lapsed for calls", fields),
     );
 
@@ -144,15 +144,17 @@
         this.#network = new PeerNetwork({ findAddress: (id) => id, timeoutMs: PEER_TIMEOUT_MS });
         this.#router = new LeaderRouter({
             listSeeds: options.listSeeds,
-            silenceMs: selectSilenceMs(options.tolerated),
+            silenceMs: selectFailoverTimeoutMs(options.toleratedFailures),
         });
-        this.#roster = new VoterRoster({
+        this.#voterPlanner = new VoterPlanner({
             self: this.#self,
             zone: options.zone,
-            target: 2 * options.tolerated + 1,
+            targetVoters: 2 * options.toleratedFailures + 1,
             listSeeds: options.listSeeds,
         });
-        this.#guard = new ClockGuard(() => this.#member?.replica.distrustClock());
+        this.#clockJumpDetector = new ClockJumpDetector(() =>
+            this.#member?.replica.distrustClock(),
+        );
     }
 
     /** Where workers and operators reach the leader, as far as known. */
@@ -162,12 +164,12 @@
 
     /** The version of the newest configuration that this replica knows to be agreed on. */
     get configurationVersion(): number | undefined {
-        return this.#durable.configuration?.version;
+        return this.#committedState.configuration?.version;
     }
 
     /** Whether this instance leads and nobody else can. */
     get isServing(): boolean {
-        this.#guard.check();
+        this.#clockJumpDetector.check();
         return this.#leadership !== undefined && (this.#member?.isServing ?? false);
     }
 
@@ -179,53 +181,59 @@
             host,
             port,
             methods: {
-                "peer.group": (params) => this.#handlePeer(params as PeerEnvelope),
+                "peer.group": (params) => this.#handlePeerMessage(params as PeerEnvelope),
                 "peer.subscribe": (params) =>
                     this.#member?.addLearner((params as { member: MemberId }).member) ?? {},
                 [METHODS.callers]: async (params) =>
-                    (await this.#lead()).handleCaller(params as CallerCall),
+                    (await this.#getLeadership()).handleCaller(params as CallerCall),
                 [METHODS.heartbeat]: async (params) =>
-                    (await this.#lead()).handleHeartbeat(params as HeartbeatCall),
-                [METHODS.signs]: async (params) =>
-                    (await this.#lead()).handleSigns((params as SignsCall).signs),
+                    (await this.#getLeadership()).handleHeartbeat(params as HeartbeatCall),
+                [METHODS.keepAlives]: async (params) =>
+                    (await this.#getLeadership()).handleKeepAlives(
+                        (params as KeepAliveBatchCall).signs,
+                    ),
                 [METHODS.readState]: (params) => this.#readState(params as CallerCall),
                 [METHODS.leave]: async (params) =>
-                    (await this.#lead()).handleLeave((params as { worker: WorkerId }).worker),
+                    (await this.#getLeadership()).handleLeave(
+                        (params as { worker: WorkerId }).worker,
+                    ),
                 [METHODS.configure]: async (params) =>
-                    (await this.#lead()).handleConfigure(params as Configuration),
-                [METHODS.readConfiguration]: () => this.#readLocal(),
+                    (await this.#getLeadership()).handleConfigure(params as Configuration),
+                [METHODS.readConfiguration]: () => this.#readConfigurationAsLeader(),
                 [METHODS.hello]: (params) => this.#handleHello(params as HelloCall),
             },
         });
         this.#member = new GroupMember<FactBatch, void>({
-            group: this.#createGroup(),
+            group: this.#createGroupLayout(),
             self: this.#self,
             incarnation: loadIncarnation({ dataDir, bootstrap }),
             machine: {
                 apply: (batch) => {
-                    this.#durable.apply(batch);
-                    this.#states.update();
+                    this.#committedState.apply(batch);
+                    this.#stateReader.resolveEndedJobs();
                 },
-                encode: () => this.#durable.encode(),
-                restore: (state) => this.#durable.restore(state),
+                encode: () => this.#committedState.encode(),
+                restore: (state) => this.#committedState.restore(state),
             },
             network: this.#network,
             dataDir,
-            timings: this.#options.timings ?? selectTimings(this.#options.tolerated),
+            timings: this.#options.timings ?? selectTimings(this.#options.toleratedFailures),
             listContacts: () => this.#router.listMembers() as EntryId[],
-            startedAt: this.#options.startedAt,
-            snapshotEvery: this.#options.snapshotEvery ?? DEFAULT_SNAPSHOT_EVERY,
+            startedAt: this.#options.processStartedAtMs,
+            snapshotEvery: this.#options.batchesPerSnapshot ?? DEFAULT_BATCHES_PER_SNAPSHOT,
             onLead: () => this.#startLeading(),
             onResign: (cause) => this.#stopLeading(cause),
             log: this.#options.log,
         });
         this.#member.start();
-        this.#greetings = interval(HELLO_MS).subscribe(() => void this.#sendHello());
+        this.#helloSubscription = interval(HELLO_INTERVAL_MS).subscribe(
+            () => void this.#sendHello(),
+        );
     }
 
     /** Hands the lead over and stops. */
     async stop(): Promise<void> {
-        this.#greetings?.unsubscribe();
+        this.#helloSubscription?.unsubscribe();
         await this.#member?.stop();
         this.#stopLeading("stopped");
         this.#network.close();
@@ -240,9 +248,9 @@
      * @throws {NoLeaderError} When no leader took it in time.
      */
     async handleHeartbeat(call: HeartbeatCall): Promise<void> {
-        if (this.#isPlainSign(call)) {
+        if (this.#isKeepAlive(call)) {
             const { record, sequence, clockMs } = call;
-            this.#signs.add({
+            this.#keepAlives.add({
                 worker: record.id,
                 sequence,
                 clockMs,
@@ -261,7 +269,7 @@
      * @returns On a small floor the leader, else this instance, which gathers them for the leader.
      */
     get heartbeatAddress(): string | undefined {
-        return this.#isLarge() && !this.isServing
+        return this.#isLargeDeployment() && !this.isServing
             ? this.#options.publicAddress
             : this.leaderPublicAddress;
     }
@@ -297,9 +305,9 @@
             log.info("configuration refused", { version, findings });
             return { type: "invalid", findings };
         }
-        const agreed = this.configurationVersion ?? -1;
-        if (version <= agreed) {
-            log.notice("configuration acknowledged", { version, agreed });
+        const committedVersion = this.configurationVersion ?? -1;
+        if (version <= committedVersion) {
+            log.notice("configuration acknowledged", { version, agreed: committedVersion });
             return { type: "acknowledged" };
         }
         return this.#runOrForward(METHODS.configure, configuration, (leadership) =>
@@ -322,17 +330,17 @@
         return answer.document;
     }
 
-    #isLarge(): boolean {
-        return this.#durable.workers.size >= LARGE_FLOOR_WORKERS;
+    #isLargeDeployment(): boolean {
+        return this.#committedState.workers.size >= LARGE_DEPLOYMENT_WORKERS;
     }
 
     /** A heartbeat that says nothing new waits here for the next ones, on a large floor. */
-    #isPlainSign(call: HeartbeatCall): boolean {
-        const known = this.#durable.workers.get(call.record.id);
+    #isKeepAlive(call: HeartbeatCall): boolean {
+        const known = this.#committedState.workers.get(call.record.id);
         return (
-            this.#isLarge() &&
+            this.#isLargeDeployment() &&
             !this.isServing &&
-            this.#signs.isTrusted &&
+            this.#keepAlives.isLeaderReachable &&
             !call.record.isDraining &&
             known !== undefined &&
             isSameReport(known, call.record)
@@ -344,26 +352,26 @@
      * not know may be too new for it: the leader is asked then.
      */
     async #readState(call: CallerCall): Promise<CallerAnswer> {
-        const silentMs = performance.now() - (this.#member?.heardLeaderAt ?? 0);
-        const { configuration } = this.#durable;
+        const sinceLeaderContactMs = performance.now() - (this.#member?.heardLeaderAt ?? 0);
+        const { configuration } = this.#committedState;
         const match =
             configuration === undefined
                 ? undefined
                 : findQueue(configuration, call.host, call.path);
         const answer =
-            match === undefined || silentMs > READER_SILENCE_MS
+            match === undefined || sinceLeaderContactMs > MAX_REPLICA_STALENESS_MS
                 ? undefined
-                : await this.#states.readState(match.rest as JobId);
+                : await this.#stateReader.readState(match.rest as JobId);
         if (answer === undefined) {
             throw new MethodError("ask the leader", NOT_LEADER_CODE, { leader: undefined });
         }
         return answer;
     }
 
-    #createGroup(): GroupLayout {
-        const listVoters = () => this.#roster.listWanted(this.#listVotingInstances());
+    #createGroupLayout(): GroupLayout {
+        const listVoters = () => this.#voterPlanner.listDesiredVoters(this.#listVotingInstances());
         return {
-            id: GROUP,
+            id: CONTROL_GROUP_ID,
             zones: [],
             get voters() {
                 return listVoters();
@@ -383,22 +391,22 @@
         params: object,
         run: (leadership: Leadership) => Promise<T>,
     ): Promise<T> {
-        const isServing = await this.#waitServing();
-        if (isServing && this.#leadership !== undefined) {
+        const hasLease = await this.#waitForLease();
+        if (hasLease && this.#leadership !== undefined) {
             return run(this.#leadership);
         }
-        return this.#router.call<T>(method, params, FORWARD_BUDGET_MS);
+        return this.#router.call<T>(method, params, FORWARD_TIMEOUT_MS);
     }
 
-    async #readLocal(): Promise<{ document: unknown }> {
-        const leadership = await this.#lead();
+    async #readConfigurationAsLeader(): Promise<{ document: unknown }> {
+        const leadership = await this.#getLeadership();
         return { document: await leadership.readConfiguration() };
     }
 
     /** Gives the leadership of this instance, or tells the caller who leads. */
-    async #lead(): Promise<Leadership> {
-        const isServing = await this.#waitServing();
-        if (isServing && this.#leadership !== undefined) {
+    async #getLeadership(): Promise<Leadership> {
+        const hasLease = await this.#waitForLease();
+        if (hasLease && this.#leadership !== undefined) {
             return this.#leadership;
         }
         const leader = this.#member?.leader;
@@ -408,12 +416,12 @@
     }
 
     /** As {@link GroupMember.waitServing}, with a look at the clocks before. */
-    async #waitServing(): Promise<boolean> {
+    async #waitForLease(): Promise<boolean> {
         if (this.isServing || this.#leadership === undefined) {
             return this.isServing;
         }
         this.#options.metrics?.lapsedCalls.inc();
-        this.#lapses.add();
+        this.#leaseLapses.add();
         await this.#member?.waitServing();
         return this.isServing;
     }
@@ -426,7 +434,7 @@
         throw new MethodError(error.message, NOT_LEADER_CODE, { leader: undefined });
     }
 
-    async #handlePeer(envelope: PeerEnvelope): Promise<unknown> {
+    async #handlePeerMessage(envelope: PeerEnvelope): Promise<unknown> {
         const { from, to, message } = envelope;
         return (await this.#member?.receive(from, to, message)) ?? null;
     }
@@ -436,18 +444,18 @@
         if (replica === undefined) {
             return;
         }
-        this.#clock.start(this.#durable.lastBatchAtMs);
-        this.#roster.startLeading(performance.now());
+        this.#clock.start(this.#committedState.lastBatchAtMs);
+        this.#voterPlanner.startLeading(performance.now());
         this.#options.log.notice("lead gained", {
             term: replica.term,
             voters: replica.voters.length,
-            jobs: this.#durable.jobs.size,
+            jobs: this.#committedState.jobs.size,
         });
         this.#leadership = new Leadership({
-            durable: this.#durable,
-            states: this.#states,
+            committedState: this.#committedState,
+            stateReader: this.#stateReader,
             propose: (batch) => replica.propose(batch).catch((error) => this.#refuseCall(error)),
-            waitServing: () => this.#waitServing(),
+            waitForLease: () => this.#waitForLease(),
             term: replica.term,
             clock: {
                 getNow: () => performance.now(),
@@ -461,7 +469,7 @@
         });
         this.#options.metrics?.leading.set(1);
         this.#leadership.start();
-        this.#updateLanes();
+        this.#updateFronts();
     }
 
     #stopLeading(cause: ResignCause | "stopped"): void {
@@ -469,7 +477,7 @@
             this.#options.log.notice("lead lost", { term: this.#member?.replica.term, cause });
             this.#options.metrics?.leadsLost.inc({ cause });
         }
-        this.#roster.stopLeading();
+        this.#voterPlanner.stopLeading();
         this.#options.metrics?.leading.set(0);
         this.#leadership?.stop();
         this.#leadership = undefined;
@@ -482,34 +490,34 @@
     }
 
     async #handleHello(call: HelloCall): Promise<HelloAnswer> {
-        await this.#lead();
-        if (this.#members.add(call, performance.now()) && call.kind === "front") {
-            this.#updateLanes();
+        await this.#getLeadership();
+        if (this.#instances.add(call, performance.now()) && call.kind === "front") {
+            this.#updateFronts();
         }
-        const limits = this.#durable.configuration?.limits;
+        const limits = this.#committedState.configuration?.limits;
         return {
             leader: this.#self,
             members: this.#listMembers(),
             publicAddress: this.#options.publicAddress,
-            readers: this.#isLarge() ? this.#members.listAddresses("control") : [],
+            readers: this.#isLargeDeployment() ? this.#instances.listAddresses("control") : [],
             limits:
                 limits === undefined
                     ? undefined
                     : { maxBodyBytes: limits.maxBodyBytes, idleTimeoutMs: limits.idleTimeoutMs },
             ...(call.wantsPeers === true
-                ? { peers: this.#members.listPeerFronts(PEERS_PER_ZONE, call.address) }
+                ? { peers: this.#instances.listPeerFronts(PEER_FRONTS_PER_ZONE, call.address) }
                 : {}),
         };
     }
 
     #listMembers(): string[] {
-        const others = this.#members.listAddresses("control");
+        const others = this.#instances.listAddresses("control");
         return [...new Set<string>([this.#self, ...this.#listVotingInstances(), ...others])];
     }
 
     async #sendHello(): Promise<void> {
         if (this.#member?.replica.role === "leader") {
-            this.#updateMembers();
+            this.#updateInstances();
             return;
         }
         const call: HelloCall = {
@@ -519,28 +527,32 @@
             publicAddress: this.#options.publicAddress,
         };
         const answer = await this.#router
-            .call<HelloAnswer>(METHODS.hello, call, HELLO_MS)
+            .call<HelloAnswer>(METHODS.hello, call, HELLO_INTERVAL_MS)
             .catch((error: Error) => {
                 this.#options.log.debug("no leader greeted", { error: error.message });
                 return undefined;
             });
         if (answer !== undefined) {
-            this.#signs.confirmLeader();
+            this.#keepAlives.recordLeaderContact();
             this.#leaderPublicAddress = answer.publicAddress;
             this.#router.setMembers(answer.members);
         }
     }
 
     /** The leader's view of who is there: fronts for advice calls, control instances to vote. */
-    #updateMembers(): void {
-        const now = performance.now();
-        this.#members.removeSilent(now);
-        this.#updateLanes();
-        this.#roster.plan(now, this.#listVotingInstances(), this.#members.getControlZones());
+    #updateInstances(): void {
+        const nowMs = performance.now();
+        this.#instances.removeExpired(nowMs);
+        this.#updateFronts();
+        this.#voterPlanner.planVoters(
+            nowMs,
+            this.#listVotingInstances(),
+            this.#instances.getControlZones(),
+        );
     }
 
-    #updateLanes(): void {
-        const fronts = this.#members.listAddresses("front");
-        this.#leadership?.setLanes(fronts as unknown as LaneId[]);
+    #updateFronts(): void {
+        const fronts = this.#instances.listAddresses("front");
+        this.#leadership?.setFronts(fronts as unknown as LaneId[]);
     }
 }
--- a/control/daemon_test.ts
+++ b/control/daemon_test.ts
@@ -5,7 +5,7 @@
 import type { CallerCall } from "./calls.ts";
 
 /** Lines are gathered for 50 ms before they are written. */
-const LOG_WRITTEN_MS = 200;
+const LOG_FLUSH_MS = 200;
 const HOST = "studio.example";
 
 function buildSubmit(id: string): CallerCall {
@@ -14,15 +14,15 @@
 }
 
 async function startCluster(t: ExecutionContext, taskMs = 100): Promise<ClusterFixture> {
-    const cluster = await ClusterFixture.start({ members: 3, workers: 3, taskMs });
+    const cluster = await ClusterFixture.start({ memberCount: 3, workerCount: 3, taskMs });
     t.teardown(() => cluster.stop());
-    const leader = await cluster.waitLeader();
+    const leader = await cluster.waitForLeader();
     await cluster.daemons.get(leader)?.handleConfigure(buildConfiguration(1));
     await waitUntil(() => cluster.front.isReady);
     return cluster;
 }
 
-async function waitState(cluster: ClusterFixture, id: string, state: string): Promise<void> {
+async function waitForJobState(cluster: ClusterFixture, id: string, state: string): Promise<void> {
     await waitUntil(async () => {
         const call: CallerCall = { type: "state", host: HOST, path: `/previews/${id}` };
         const answer = await cluster.front.handleCaller(call, 2_000);
@@ -36,8 +36,8 @@
     t.deepEqual(await cluster.front.handleCaller(buildSubmit(id), 3_000), { type: "accepted" });
     // The same job handed in again, as after a lost answer, stays one job.
     t.deepEqual(await cluster.front.handleCaller(buildSubmit(id), 3_000), { type: "accepted" });
-    await waitState(cluster, id, "complete");
-    t.is(cluster.runs.length, 2);
+    await waitForJobState(cluster, id, "complete");
+    t.is(cluster.startedTasks.length, 2);
     const unknown: CallerCall = { type: "state", host: HOST, path: "/previews/00000000000000ff" };
     t.deepEqual(await cluster.front.handleCaller(unknown, 2_000), { type: "unknownJob" });
     const elsewhere: CallerCall = { type: "state", host: HOST, path: "/nowhere/00000000000000ff" };
@@ -52,12 +52,12 @@
     for (const id of ids) {
         t.deepEqual(await cluster.front.handleCaller(buildSubmit(id), 3_000), { type: "accepted" });
     }
-    await cluster.stopMember(await cluster.waitLeader());
+    await cluster.stopMember(await cluster.waitForLeader());
     for (const id of ids) {
-        await waitState(cluster, id, "complete");
+        await waitForJobState(cluster, id, "complete");
     }
-    t.is(new Set(cluster.runs).size, 6);
-    t.is(cluster.runs.length, 6);
+    t.is(new Set(cluster.startedTasks).size, 6);
+    t.is(cluster.startedTasks.length, 6);
 });
 
 test.serial("a request's time line is whole through the loss of its leader", async (t) => {
@@ -66,10 +66,10 @@
     const cluster = await startCluster(t, 800);
     const id = "00000000000000c1";
     await cluster.front.handleCaller(buildSubmit(id), 3_000);
-    await waitUntil(() => cluster.runs.length === 2);
-    await cluster.stopMember(await cluster.waitLeader());
-    await waitState(cluster, id, "complete");
-    await new Promise((resolve) => setTimeout(resolve, LOG_WRITTEN_MS));
+    await waitUntil(() => cluster.startedTasks.length === 2);
+    await cluster.stopMember(await cluster.waitForLeader());
+    await waitForJobState(cluster, id, "complete");
+    await new Promise((resolve) => setTimeout(resolve, LOG_FLUSH_MS));
     const { events, causes } = explainRequest(mergeTimeline([cluster.logLines.join("")]), id);
     const own = events.filter((event) => event.request === id).map((event) => event.message);
     t.deepEqual(
@@ -86,14 +86,14 @@
     // The operator reads the newest configuration all the while. A member returns with an empty
     // disk as another incarnation and is taken in; only then can the next one be lost.
     const cluster = await startCluster(t);
-    const leader = await cluster.waitLeader();
+    const leader = await cluster.waitForLeader();
     const [wiped, other] = [...cluster.daemons.keys()].filter((address) => address !== leader);
     await cluster.stopMember(wiped as string, true);
     await cluster.startMember(wiped as string);
     await cluster.daemons.get(leader)?.handleConfigure(buildConfiguration(2));
     await new Promise((resolve) => setTimeout(resolve, 3_000));
     await cluster.stopMember(other as string);
-    const next = await cluster.waitLeader();
+    const next = await cluster.waitForLeader();
     await waitUntil(async () => {
         const document = await cluster.daemons
             .get(next)
@@ -106,7 +106,7 @@
 
 test.serial("an older or equal configuration is acknowledged and changes nothing", async (t) => {
     const cluster = await startCluster(t);
-    const daemon = cluster.daemons.get(await cluster.waitLeader());
+    const daemon = cluster.daemons.get(await cluster.waitForLeader());
     await daemon?.handleConfigure(buildConfiguration(5));
     const changed = { ...buildConfiguration(5), document: { version: "other" } };
     t.deepEqual(await daemon?.handleConfigure(changed), { type: "acknowledged" });
@@ -121,15 +121,15 @@
     // The operator sees no second outage. All control instances lose power; meanwhile the settings name
     // another three of the four as seeds. Whoever leads next keeps the voters: it would otherwise exchange
     // one, remove itself where it is not among the seeds, and decide nothing until the next election.
-    const cluster = await ClusterFixture.start({ members: 4, workers: 1, seeds: 3 });
+    const cluster = await ClusterFixture.start({ memberCount: 4, workerCount: 1, seedCount: 3 });
     t.teardown(() => cluster.stop());
-    await cluster.waitLeader();
+    await cluster.waitForLeader();
     await Promise.all(cluster.addresses.map((address) => cluster.stopMember(address)));
     cluster.seeds = cluster.addresses.slice(1);
     cluster.logLines.length = 0;
     await Promise.all(cluster.addresses.map((address) => cluster.startMember(address)));
-    const leader = await cluster.waitLeader();
+    const leader = await cluster.waitForLeader();
     await new Promise((resolve) => setTimeout(resolve, 2_500));
-    t.is(await cluster.waitLeader(), leader);
+    t.is(await cluster.waitForLeader(), leader);
     t.notRegex(cluster.logLines.join(""), /voter (added|removed)/);
 });
--- a/control/effect_queue.ts
+++ b/control/effect_queue.ts
@@ -24,7 +24,7 @@
     /** Carries an effect out; returns once it is on its way. */
     readonly run: (effect: Effect) => void;
     /** Whether an effect would change nothing any more; none by default. */
-    readonly isDone?: (effect: Effect) => boolean;
+    readonly isRedundant?: (effect: Effect) => boolean;
     /** Told when few effects are left after many. */
     readonly onDrained: () => void;
     /** Has something done in the next turn of the event loop, or after a pause in ms; replaced in tests. */
@@ -33,24 +33,24 @@
 }
 
 /** Orders and calls of one turn of the event loop: below 10 ms, also in a process that just started. */
-const ORDERS_PER_TURN = 16;
+const EFFECTS_PER_TURN = 16;
 /** Looks at once, and the pause after them, in ms: a new leader looks at hundreds of workers, and each answers. */
-const LOOKS_AT_ONCE = 16;
-const LOOK_PAUSE_MS = 25;
+const POLLS_PER_BURST = 16;
+const POLL_BURST_INTERVAL_MS = 25;
 /** With so many orders waiting nothing more is decided: some ten ms of a busy leader's work. */
-const FULL_SIZE = 128;
+const HIGH_WATERMARK = 128;
 /** From so few on more is decided again. */
-const DRAINED_SIZE = 32;
+const LOW_WATERMARK = 32;
 
 /** Effects on their way. */
 export class EffectQueue {
     readonly #options: EffectQueueOptions;
     readonly #getNow: () => number;
     readonly #urgent: Effect[] = [];
-    readonly #usual: Effect[] = [];
-    readonly #looks: Effect[] = [];
-    #nextLookAt = Number.NEGATIVE_INFINITY;
-    #isScheduled = false;
+    readonly #normal: Effect[] = [];
+    readonly #polls: Effect[] = [];
+    #nextPollBurstAtMs = Number.NEGATIVE_INFINITY;
+    #isTurnScheduled = false;
     #wasFull = false;
     #isStopped = false;
 
@@ -64,7 +64,7 @@
 
     /** Orders and calls that wait; looks at workers are not among them. */
     get size(): number {
-        return this.#urgent.length + this.#usual.length;
+        return this.#urgent.length + this.#normal.length;
     }
 
     /**
@@ -73,7 +73,7 @@
      * @returns True when {@link EffectQueueOptions.onDrained} will tell that there is room again.
      */
     isFull(): boolean {
-        const isFull = this.size >= FULL_SIZE;
+        const isFull = this.size >= HIGH_WATERMARK;
         this.#wasFull ||= isFull;
         return isFull;
     }
@@ -86,8 +86,8 @@
      */
     add(effects: readonly Effect[]): void {
         effects
-            .filter((effect) => this.#options.isDone?.(effect) !== true)
-            .forEach((effect) => this.#selectList(effect).push(effect));
+            .filter((effect) => this.#options.isRedundant?.(effect) !== true)
+            .forEach((effect) => this.#selectQueue(effect).push(effect));
         this.#scheduleTurn();
     }
 
@@ -100,7 +100,7 @@
      * What callers wait for most goes first: advice calls, which only a front's turn limits, and the most urgent
      * queue's tasks.
      */
-    #selectList(effect: Effect): Effect[] {
+    #selectQueue(effect: Effect): Effect[] {
         switch (effect.type) {
             case "advise":
             case "acknowledge":
@@ -108,32 +108,33 @@
             case "start":
             case "stop":
             case "pace":
-                return effect.member.priority === 0 ? this.#urgent : this.#usual;
+                return effect.member.priority === 0 ? this.#urgent : this.#normal;
             case "watch":
             case "look":
-                return this.#looks;
+                return this.#polls;
         }
     }
 
     #scheduleTurn(): void {
-        const isIdle = this.size === 0 && this.#looks.length === 0;
-        if (this.#isScheduled || this.#isStopped || isIdle) {
+        const isIdle = this.size === 0 && this.#polls.length === 0;
+        if (this.#isTurnScheduled || this.#isStopped || isIdle) {
             return;
         }
-        this.#isScheduled = true;
-        const pauseMs = this.size > 0 ? 0 : this.#nextLookAt - this.#getNow();
+        this.#isTurnScheduled = true;
+        const pauseMs = this.size > 0 ? 0 : this.#nextPollBurstAtMs - this.#getNow();
         const schedule = this.#options.schedule ?? scheduleTurn;
         schedule(() => this.#runTurn(), Math.max(0, pauseMs));
     }
 
     #runTurn(): void {
-        this.#isScheduled = false;
-        this.#runSome([this.#urgent, this.#usual], ORDERS_PER_TURN);
-        if (this.#getNow() >= this.#nextLookAt) {
-            const count = this.#runSome([this.#looks], LOOKS_AT_ONCE);
-            this.#nextLookAt = this.#getNow() + (count === LOOKS_AT_ONCE ? LOOK_PAUSE_MS : 0);
+        this.#isTurnScheduled = false;
+        this.#runBatch([this.#urgent, this.#normal], EFFECTS_PER_TURN);
+        if (this.#getNow() >= this.#nextPollBurstAtMs) {
+            const count = this.#runBatch([this.#polls], POLLS_PER_BURST);
+            this.#nextPollBurstAtMs =
+                this.#getNow() + (count === POLLS_PER_BURST ? POLL_BURST_INTERVAL_MS : 0);
         }
-        if (this.#wasFull && this.size <= DRAINED_SIZE && !this.#isStopped) {
+        if (this.#wasFull && this.size <= LOW_WATERMARK && !this.#isStopped) {
             this.#wasFull = false;
             this.#options.onDrained();
         }
@@ -141,15 +142,15 @@
     }
 
     /** @returns How many were carried out. */
-    #runSome(lists: readonly Effect[][], most: number): number {
-        for (let count = 0; count < most; count++) {
-            const effect = lists.find(({ length }) => length > 0)?.shift();
+    #runBatch(queues: readonly Effect[][], maxCount: number): number {
+        for (let count = 0; count < maxCount; count++) {
+            const effect = queues.find(({ length }) => length > 0)?.shift();
             if (effect === undefined || this.#isStopped) {
                 return count;
             }
             this.#options.run(effect);
         }
-        return most;
+        return maxCount;
     }
 }
 
--- a/control/effect_queue_test.ts
+++ b/control/effect_queue_test.ts
@@ -12,16 +12,16 @@
     readonly clock: { now: number };
 }
 
-function buildQueue(isDone?: (effect: Effect) => boolean): Fixture {
+function buildQueue(isRedundant?: (effect: Effect) => boolean): Fixture {
     const ran: Effect[] = [];
     const tasks: (() => void)[] = [];
     const clock = { now: 0 };
-    let drained = 0;
+    let drainedCount = 0;
     const queue = new EffectQueue({
         run: (effect) => ran.push(effect),
-        isDone,
+        isRedundant,
         onDrained: () => {
-            drained += 1;
+            drainedCount += 1;
         },
         schedule: (task, pauseMs) => {
             tasks.push(() => {
@@ -36,18 +36,18 @@
         tasks.shift()?.();
         return ran.length - before;
     };
-    return { queue, ran, runTurn, countDrained: () => drained, clock };
+    return { queue, ran, runTurn, countDrained: () => drainedCount, clock };
 }
 
 function buildStart(priority: number): Effect {
     return { type: "start", member: { priority } as MemberRun };
 }
 
-function buildLook(number: number): Effect {
+function buildPoll(number: number): Effect {
     return { type: "look", worker: `w${number}` as WorkerId };
 }
 
-function buildMany(count: number, build: (i: number) => Effect): Effect[] {
+function buildEffects(count: number, build: (i: number) => Effect): Effect[] {
     return Array.from({ length: count }, (_none, i) => build(i));
 }
 
@@ -55,7 +55,7 @@
     // All power was lost; a thousand tasks find room at once. Sent in one turn their orders and answers hold the
     // event loop for a second, callers' calls wait behind, time out and come again.
     const { queue, runTurn } = buildQueue();
-    queue.add(buildMany(1_000, () => buildStart(1)));
+    queue.add(buildEffects(1_000, () => buildStart(1)));
     const turns: number[] = [];
     while (queue.size > 0) {
         turns.push(runTurn());
@@ -69,7 +69,7 @@
 
 test("the most urgent queue's tasks and calls for advice go before a backlog of others", (t) => {
     const { queue, ran, runTurn } = buildQueue();
-    queue.add([...buildMany(100, () => buildStart(2)), ...buildMany(100, buildLook)]);
+    queue.add([...buildEffects(100, () => buildStart(2)), ...buildEffects(100, buildPoll)]);
     const urgent = buildStart(0);
     queue.add([urgent]);
     runTurn();
@@ -80,15 +80,15 @@
     // A new leader knows no worker until it has answered a look. Looks behind the orders would leave it with a
     // few workers for as long as the backlog lasts; all at once their answers would fill the event loop.
     const { queue, ran, runTurn, clock } = buildQueue();
-    queue.add([...buildMany(2_000, () => buildStart(1)), ...buildMany(380, buildLook)]);
-    const countLooks = (): number => ran.filter(({ type }) => type === "look").length;
+    queue.add([...buildEffects(2_000, () => buildStart(1)), ...buildEffects(380, buildPoll)]);
+    const countPolls = (): number => ran.filter(({ type }) => type === "look").length;
     runTurn();
-    t.is(countLooks(), 16);
+    t.is(countPolls(), 16);
     runTurn();
-    t.is(countLooks(), 16);
+    t.is(countPolls(), 16);
     clock.now += 25;
     runTurn();
-    t.is(countLooks(), 32);
+    t.is(countPolls(), 32);
 });
 
 test("a thousand starts on watched workers don't hold up the look at a silent one", (t) => {
@@ -98,17 +98,17 @@
     for (let i = 0; i < 1_000; i++) {
         queue.add([buildStart(1), { type: "watch", worker: `w${i % 380}` as WorkerId }]);
     }
-    const look = buildLook(7);
-    queue.add([look]);
+    const poll = buildPoll(7);
+    queue.add([poll]);
     runTurn();
-    t.true(ran.includes(look));
+    t.true(ran.includes(poll));
 });
 
 test("while many orders wait nothing more is decided, and then it is told once", (t) => {
     const { queue, runTurn, countDrained } = buildQueue();
-    queue.add(buildMany(20, () => buildStart(1)));
+    queue.add(buildEffects(20, () => buildStart(1)));
     t.false(queue.isFull());
-    queue.add(buildMany(200, () => buildStart(1)));
+    queue.add(buildEffects(200, () => buildStart(1)));
     t.true(queue.isFull());
     while (queue.size > 0) {
         runTurn();
@@ -119,7 +119,7 @@
 
 test("nothing is carried out after the lead has ended", (t) => {
     const { queue, ran, runTurn } = buildQueue();
-    queue.add(buildMany(40, () => buildStart(1)));
+    queue.add(buildEffects(40, () => buildStart(1)));
     runTurn();
     queue.stop();
     runTurn();
--- a/control/member_table.ts
+++ b/control/instance_registry.ts
@@ -4,7 +4,7 @@
  *
  * @example
  * ```ts
- * import { MemberTable } from "./member_table.ts";
+ * import { MemberTable } from "./instance_registry.ts";
  * const table = new MemberTable();
  * table.add(hello, now);
  * const fronts = table.listAddresses("front");
@@ -21,42 +21,42 @@
  * replaced only by one that is there and holds the log, so a hasty verdict costs two changes of the
  * voters.
  */
-const CONTROL_SILENCE_MS = 1_500;
+const CONTROL_TIMEOUT_MS = 1_500;
 /** A front not heard from for this long makes no advice calls, in ms. */
-const FRONT_SILENCE_MS = 1_500;
+const FRONT_TIMEOUT_MS = 1_500;
 
-interface KnownInstance extends HelloCall {
-    readonly heardAt: number;
+interface RegisteredInstance extends HelloCall {
+    readonly lastHelloAtMs: number;
 }
 
 /** Who greeted lately. */
-export class MemberTable {
-    readonly #known = new Map<string, KnownInstance>();
-    #nextPeer = 0;
+export class InstanceRegistry {
+    readonly #instances = new Map<string, RegisteredInstance>();
+    #nextFrontIndex = 0;
 
     /**
      * Records a greeting.
      *
      * @param call The greeting.
-     * @param now Our clock, in ms.
+     * @param nowMs Our clock, in ms.
      * @returns Whether the instance is new here.
      */
-    add(call: HelloCall, now: number): boolean {
-        const isNew = !this.#known.has(call.address);
-        this.#known.set(call.address, { ...call, heardAt: now });
+    add(call: HelloCall, nowMs: number): boolean {
+        const isNew = !this.#instances.has(call.address);
+        this.#instances.set(call.address, { ...call, lastHelloAtMs: nowMs });
         return isNew;
     }
 
     /**
      * Forgets instances that are silent.
      *
-     * @param now Our clock, in ms.
+     * @param nowMs Our clock, in ms.
      */
-    removeSilent(now: number): void {
-        for (const [address, known] of this.#known) {
-            const limit = known.kind === "front" ? FRONT_SILENCE_MS : CONTROL_SILENCE_MS;
-            if (now - known.heardAt > limit) {
-                this.#known.delete(address);
+    removeExpired(nowMs: number): void {
+        for (const [address, instance] of this.#instances) {
+            const timeoutMs = instance.kind === "front" ? FRONT_TIMEOUT_MS : CONTROL_TIMEOUT_MS;
+            if (nowMs - instance.lastHelloAtMs > timeoutMs) {
+                this.#instances.delete(address);
             }
         }
     }
@@ -68,7 +68,7 @@
      * @returns Their RPC addresses.
      */
     listAddresses(kind: HelloCall["kind"]): string[] {
-        return [...this.#known.values()]
+        return [...this.#instances.values()]
             .filter((known) => known.kind === kind)
             .map((known) => known.address);
     }
@@ -77,19 +77,22 @@
      * Lists some fronts of each availability zone, for fronts that look for a way to the leader: each time
      * others, or one front of a zone would carry the calls of all that are cut off.
      *
-     * @param perZone How many of each zone.
-     * @param except The address of the front that asks.
+     * @param maxPerZone How many of each zone.
+     * @param requesterAddress The address of the front that asks.
      * @returns The fronts.
      */
-    listPeerFronts(perZone: number, except: string): PeerFront[] {
-        const counts = new Map<string, number>();
+    listPeerFronts(maxPerZone: number, requesterAddress: string): PeerFront[] {
+        const countsByZone = new Map<string, number>();
         const peers: PeerFront[] = [];
-        const fronts = [...this.#known.values()].filter(({ kind }) => kind === "front");
-        const first = this.#nextPeer++ % Math.max(1, fronts.length);
-        for (const { address, zone } of [...fronts.slice(first), ...fronts.slice(0, first)]) {
-            const count = counts.get(zone) ?? 0;
-            if (address !== except && count < perZone) {
-                counts.set(zone, count + 1);
+        const fronts = [...this.#instances.values()].filter(({ kind }) => kind === "front");
+        const firstIndex = this.#nextFrontIndex++ % Math.max(1, fronts.length);
+        for (const { address, zone } of [
+            ...fronts.slice(firstIndex),
+            ...fronts.slice(0, firstIndex),
+        ]) {
+            const count = countsByZone.get(zone) ?? 0;
+            if (address !== requesterAddress && count < maxPerZone) {
+                countsByZone.set(zone, count + 1);
                 peers.push({ address, zone });
             }
         }
@@ -103,9 +106,9 @@
      */
     getControlZones(): Map<EntryId, string> {
         const zones = new Map<EntryId, string>();
-        for (const known of this.#known.values()) {
-            if (known.kind === "control") {
-                zones.set(known.address as EntryId, known.zone);
+        for (const instance of this.#instances.values()) {
+            if (instance.kind === "control") {
+                zones.set(instance.address as EntryId, instance.zone);
             }
         }
         return zones;
--- a/control/sign_box.ts
+++ b/control/keep_alive_batcher.ts
@@ -5,7 +5,7 @@
  *
  * @example
  * ```ts
- * import { SignBox } from "./sign_box.ts";
+ * import { SignBox } from "./keep_alive_batcher.ts";
  * const box = new SignBox({ send: (signs) => router.call("control.signs", { signs }, 900) });
  * if (box.isTrusted) box.add({ worker, sequence, clockMs });
  * ```
@@ -14,32 +14,32 @@
  */
 
 import type { WorkerId } from "../job/mod.ts";
-import type { LifeSign } from "./calls.ts";
+import type { KeepAlive } from "./calls.ts";
 
-/** Options of {@link SignBox}. */
-export interface SignBoxOptions {
+/** Options of {@link KeepAliveBatcher}. */
+export interface KeepAliveBatcherOptions {
     /** Hands heartbeats to the leader; rejects when none took them. */
-    readonly send: (signs: readonly LifeSign[]) => Promise<unknown>;
+    readonly send: (keepAlives: readonly KeepAlive[]) => Promise<unknown>;
     readonly getNow?: () => number;
 }
 
 /** Heartbeats are gathered for this long, in ms: a fifth of the time between two of a worker. */
-const GATHER_MS = 300;
+const BATCH_WINDOW_MS = 300;
 /** The box takes heartbeats only while the leader took the last ones within this time, in ms. */
-const TRUST_MS = 1_500;
+const LEADER_CONTACT_TIMEOUT_MS = 1_500;
 
 /** Heartbeats on their way. */
-export class SignBox {
-    readonly #options: SignBoxOptions;
+export class KeepAliveBatcher {
+    readonly #options: KeepAliveBatcherOptions;
     readonly #getNow: () => number;
-    readonly #signs = new Map<WorkerId, LifeSign>();
-    #deliveredAt = Number.NEGATIVE_INFINITY;
-    #isScheduled = false;
+    readonly #pending = new Map<WorkerId, KeepAlive>();
+    #lastContactAtMs = Number.NEGATIVE_INFINITY;
+    #isSendScheduled = false;
 
     /**
      * @param options How to reach the leader.
      */
-    constructor(options: SignBoxOptions) {
+    constructor(options: KeepAliveBatcherOptions) {
         this.#options = options;
         this.#getNow = options.getNow ?? (() => performance.now());
     }
@@ -48,38 +48,38 @@
      * Whether the leader gets what is put in. A member that is cut off from the leader must not
      * acknowledge heartbeats: their workers would stay with it and look dead to the leader.
      */
-    get isTrusted(): boolean {
-        return this.#getNow() - this.#deliveredAt < TRUST_MS;
+    get isLeaderReachable(): boolean {
+        return this.#getNow() - this.#lastContactAtMs < LEADER_CONTACT_TIMEOUT_MS;
     }
 
     /** Notes that the leader answered this member just now. */
-    confirmLeader(): void {
-        this.#deliveredAt = this.#getNow();
+    recordLeaderContact(): void {
+        this.#lastContactAtMs = this.#getNow();
     }
 
     /**
      * Puts a heartbeat in; a newer one of the same worker replaces the older.
      *
-     * @param sign The heartbeat.
+     * @param keepAlive The heartbeat.
      */
-    add(sign: LifeSign): void {
-        this.#signs.set(sign.worker, sign);
-        if (!this.#isScheduled) {
-            this.#isScheduled = true;
-            setTimeout(() => void this.#send(), GATHER_MS);
+    add(keepAlive: KeepAlive): void {
+        this.#pending.set(keepAlive.worker, keepAlive);
+        if (!this.#isSendScheduled) {
+            this.#isSendScheduled = true;
+            setTimeout(() => void this.#send(), BATCH_WINDOW_MS);
         }
     }
 
     async #send(): Promise<void> {
-        this.#isScheduled = false;
-        const signs = [...this.#signs.values()];
-        this.#signs.clear();
+        this.#isSendScheduled = false;
+        const keepAlives = [...this.#pending.values()];
+        this.#pending.clear();
         try {
-            await this.#options.send(signs);
-            this.confirmLeader();
+            await this.#options.send(keepAlives);
+            this.recordLeaderContact();
         } catch {
             // The workers' next heartbeats are refused here and go elsewhere; nothing is lost by it.
-            this.#deliveredAt = Number.NEGATIVE_INFINITY;
+            this.#lastContactAtMs = Number.NEGATIVE_INFINITY;
         }
     }
 }
--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -43,24 +43,24 @@
     CallerAnswer,
     CallerCall,
     HeartbeatCall,
-    LifeSign,
+    KeepAlive,
     WorkerCalls,
 } from "./calls.ts";
 import { EffectQueue } from "./effect_queue.ts";
 import type { StateReader } from "./state_reader.ts";
-import { RoundTrips } from "./round_trips.ts";
-import { WorkerWatch } from "./worker_watch.ts";
+import { RoundTripEstimator } from "./round_trip_estimator.ts";
+import { WorkerPoller } from "./worker_poller.ts";
 
 /** Options of {@link Leadership}. */
 export interface LeadershipOptions {
     /** The state that a quorum holds. */
-    readonly durable: StateStore;
+    readonly committedState: StateStore;
     /** Answers for the states of jobs in it. */
-    readonly states: StateReader;
+    readonly stateReader: StateReader;
     /** Has a batch agreed on; rejects when this process leads no more. */
     readonly propose: (batch: FactBatch) => Promise<void>;
     /** Waits until no other process can lead; false when this one leads no more. */
-    readonly waitServing: () => Promise<boolean>;
+    readonly waitForLease: () => Promise<boolean>;
     /** The term of this leadership: above every earlier one. */
     readonly term: number;
     readonly clock: DispatchClock;
@@ -77,91 +77,93 @@
     { readonly type: "acknowledged" } | { readonly type: "invalid"; readonly findings: string[] };
 
 /** Fences of one term: far more than orders get in the longest lead. */
-const FENCES_PER_TERM = 1_000_000;
+const FENCING_TOKENS_PER_TERM = 1_000_000;
 /** Time between two looks at the clock, in ms: lapsed leases, repeated stops, due occurrences. */
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 /** An advice call may take this many times its own length, and a little more, in ms. */
 const ADVICE_TIMEOUT_FACTOR = 2.5;
-const ADVICE_TIMEOUT_EXTRA_MS = 400;
+const ADVICE_TIMEOUT_MARGIN_MS = 400;
 /**
  * Under load placings are this far apart, in ms: one look over the backlog for many events, at the
  * cost of less than a commit.
  */
-const PLACING_PAUSE_MS = 5;
+const PLACEMENT_INTERVAL_MS = 5;
 /** Lines a second that a leader's log takes, and as many more for each worker: a task there starts and ends. */
-const LINES_PER_SECOND = 400;
-const LINES_PER_SECOND_AND_WORKER = 1;
+const LOG_LINES_PER_SECOND = 400;
+const LOG_LINES_PER_SECOND_PER_WORKER = 1;
 /** When to come back with a job that no worker on record can run: larger workers come rarely, in ms. */
-const INFEASIBLE_RETRY_MS = 60_000;
+const INFEASIBLE_RETRY_AFTER_MS = 60_000;
 
 /** One term of leading. */
 export class Leadership {
     readonly #options: LeadershipOptions;
     readonly #dispatcher: Dispatcher;
-    readonly #watch: WorkerWatch;
-    readonly #decisions: DecisionLog;
-    readonly #effects = new EffectQueue({
+    readonly #workerPoller: WorkerPoller;
+    readonly #decisionLog: DecisionLog;
+    readonly #effectQueue = new EffectQueue({
         run: (effect) => this.#runEffect(effect),
-        isDone: (effect) => effect.type === "watch" && this.#watch.isWatching(effect.worker),
-        onDrained: () => this.#schedulePlacing(),
+        isRedundant: (effect) =>
+            effect.type === "watch" && this.#workerPoller.isPolling(effect.worker),
+        onDrained: () => this.#schedulePlacement(),
     });
-    #ticks: Subscription | undefined;
-    #isScheduled = false;
-    #placedAt = Number.NEGATIVE_INFINITY;
+    #tickSubscription: Subscription | undefined;
+    #isPlacementScheduled = false;
+    #lastPlacementAtMs = Number.NEGATIVE_INFINITY;
     #isStopped = false;
-    readonly #roundTrips = new RoundTrips();
+    readonly #roundTripEstimator = new RoundTripEstimator();
 
     /**
      * @param options State, agreement, calls; see {@link LeadershipOptions}.
      */
     constructor(options: LeadershipOptions) {
         this.#options = options;
-        this.#decisions = new DecisionLog({
+        this.#decisionLog = new DecisionLog({
             log: options.log,
             computeLinesPerSecond: () =>
-                LINES_PER_SECOND + LINES_PER_SECOND_AND_WORKER * options.durable.workers.size,
+                LOG_LINES_PER_SECOND +
+                LOG_LINES_PER_SECOND_PER_WORKER * options.committedState.workers.size,
         });
         this.#dispatcher = new Dispatcher({
-            ledger: options.durable.copy(),
+            ledger: options.committedState.copy(),
             clock: options.clock,
-            firstFence: options.term * FENCES_PER_TERM,
+            firstFence: options.term * FENCING_TOKENS_PER_TERM,
             limits: options.limits,
             record: (kind, event, fields) => this.#recordDecision(kind, event, fields),
         });
-        this.#watch = new WorkerWatch({
+        this.#workerPoller = new WorkerPoller({
             dispatcher: this.#dispatcher,
-            calls: options.workerCalls,
+            workerCalls: options.workerCalls,
             flush: () => this.#flush(),
-            waitServing: options.waitServing,
+            waitForLease: options.waitForLease,
         });
     }
 
     /** Starts deciding. */
     start(): void {
-        this.#ticks = interval(TICK_MS).subscribe(() => {
-            this.#dispatcher.tick(!this.#effects.isFull());
-            this.#flushSoon();
+        this.#tickSubscription = interval(TICK_INTERVAL_MS).subscribe(() => {
+            this.#dispatcher.tick(!this.#effectQueue.isFull());
+            this.#flushInBackground();
         });
-        this.#flushSoon();
+        this.#flushInBackground();
     }
 
     /** Decides nothing from now on. */
     stop(): void {
         this.#isStopped = true;
-        this.#ticks?.unsubscribe();
-        this.#watch.stop();
-        this.#effects.stop();
-        this.#decisions.flush();
+        this.#tickSubscription?.unsubscribe();
+        this.#workerPoller.stop();
+        this.#effectQueue.stop();
+        this.#decisionLog.flush();
     }
 
     /**
      * Sets the fronts that can call the advice service.
      *
-     * @param lanes The fronts.
+     * @param fronts The fronts.
      */
-    setLanes(lanes: readonly LaneId[]): void {
-        this.#dispatcher.setLanes(lanes);
-        this.#schedulePlacing();
+    setFronts(fronts: readonly LaneId[]): void {
+        this.#dispatcher.setLanes(fronts);
+        this.#schedulePlacement();
     }
 
     /**
@@ -171,7 +173,7 @@
      * @returns The answer, once what it promises is durable.
      */
     async handleCaller(call: CallerCall): Promise<CallerAnswer> {
-        const { configuration } = this.#options.durable;
+        const { configuration } = this.#options.committedState;
         if (configuration === undefined) {
             return { type: "refused", reason: "no configuration yet", retryAfterMs: 1_000 };
         }
@@ -187,7 +189,7 @@
         }
         const job = match.rest;
         if (call.type === "state") {
-            return (await this.#options.states.readState(job)) ?? { type: "unknownJob" };
+            return (await this.#options.stateReader.readState(job)) ?? { type: "unknownJob" };
         }
         if (call.type === "cancel") {
             return this.#cancel(job);
@@ -198,9 +200,9 @@
         const { name, pool } = match.queue;
         const problem = this.#dispatcher.submit({ job, queue: name, pool, spec: call.spec });
         if (problem !== undefined) {
-            return { type: "refused", reason: problem, retryAfterMs: INFEASIBLE_RETRY_MS };
+            return { type: "refused", reason: problem, retryAfterMs: INFEASIBLE_RETRY_AFTER_MS };
         }
-        await this.#ensureDurable(() => this.#options.durable.jobs.has(job));
+        await this.#ensureCommitted(() => this.#options.committedState.jobs.has(job));
         return { type: "accepted" };
     }
 
@@ -212,26 +214,26 @@
      */
     async handleHeartbeat(call: HeartbeatCall): Promise<void> {
         const { record } = call;
-        const { durable } = this.#options;
+        const { committedState } = this.#options;
         this.#dispatcher.handleHeartbeat(call);
         // An acknowledged farewell binds the next leader too: it must be on record before.
-        await this.#ensureDurable(() => {
-            const known = durable.workers.get(record.id);
+        await this.#ensureCommitted(() => {
+            const known = committedState.workers.get(record.id);
             const isRecorded = known !== undefined && (known.isDraining || !record.isDraining);
-            return isRecorded || durable.isRemovedWorker(record.id);
+            return isRecorded || committedState.isRemovedWorker(record.id);
         });
     }
 
     /**
      * Takes heartbeats that a member gathered.
      *
-     * @param signs The heartbeats.
+     * @param keepAlives The heartbeats.
      */
-    handleSigns(signs: readonly LifeSign[]): void {
-        for (const { worker, sequence, clockMs, capacity } of signs) {
+    handleKeepAlives(keepAlives: readonly KeepAlive[]): void {
+        for (const { worker, sequence, clockMs, capacity } of keepAlives) {
             this.#dispatcher.handleSign(worker, sequence, clockMs, capacity);
         }
-        this.#flushSoon();
+        this.#flushInBackground();
     }
 
     /**
@@ -243,7 +245,7 @@
     async handleLeave(worker: WorkerId): Promise<void> {
         this.#dispatcher.handleLeave(worker);
         await this.#flush();
-        this.#schedulePlacing();
+        this.#schedulePlacement();
     }
 
     /**
@@ -255,14 +257,15 @@
     async handleConfigure(configuration: Configuration): Promise<ConfigureAnswer> {
         const { log, metrics } = this.#options;
         const { version } = configuration;
-        const takenAt = performance.now();
+        const startedAtMs = performance.now();
         this.#dispatcher.setConfiguration(configuration);
-        const isInForce = () => (this.#options.durable.configuration?.version ?? -1) >= version;
-        await this.#ensureDurable(isInForce);
-        this.#schedulePlacing();
-        const tookMs = performance.now() - takenAt;
-        metrics?.configurationSeconds.observe(tookMs / 1_000);
-        log.notice("configuration acknowledged", { version, tookMs: Math.round(tookMs) });
+        const isCommitted = () =>
+            (this.#options.committedState.configuration?.version ?? -1) >= version;
+        await this.#ensureCommitted(isCommitted);
+        this.#schedulePlacement();
+        const durationMs = performance.now() - startedAtMs;
+        metrics?.configurationSeconds.observe(durationMs / 1_000);
+        log.notice("configuration acknowledged", { version, tookMs: Math.round(durationMs) });
         return { type: "acknowledged" };
     }
 
@@ -274,39 +277,41 @@
      */
     async readConfiguration(): Promise<unknown> {
         await this.#propose([]);
-        return this.#options.durable.configuration?.document;
+        return this.#options.committedState.configuration?.document;
     }
 
     async #cancel(job: JobId): Promise<CallerAnswer> {
         if (!this.#dispatcher.cancel(job)) {
             return { type: "unknownJob" };
         }
-        await this.#ensureDurable(() => this.#options.durable.jobs.get(job)?.endedAt !== undefined);
+        await this.#ensureCommitted(
+            () => this.#options.committedState.jobs.get(job)?.endedAt !== undefined,
+        );
         return { type: "cancelled" };
     }
 
     /** Agrees on what was just decided; if an earlier call decided it, on that call's batch. */
-    async #ensureDurable(isDurable: () => boolean): Promise<void> {
+    async #ensureCommitted(isCommitted: () => boolean): Promise<void> {
         await this.#flush();
-        this.#schedulePlacing();
-        if (!isDurable()) {
+        this.#schedulePlacement();
+        if (!isCommitted()) {
             await this.#propose([]);
         }
     }
 
-    #schedulePlacing(): void {
-        if (this.#isScheduled || this.#isStopped || this.#effects.isFull()) {
+    #schedulePlacement(): void {
+        if (this.#isPlacementScheduled || this.#isStopped || this.#effectQueue.isFull()) {
             return;
         }
-        this.#isScheduled = true;
+        this.#isPlacementScheduled = true;
         const place = (): void => {
-            this.#isScheduled = false;
-            this.#placedAt = performance.now();
+            this.#isPlacementScheduled = false;
+            this.#lastPlacementAtMs = performance.now();
             this.#dispatcher.placeWaiting();
-            this.#flushSoon();
+            this.#flushInBackground();
         };
-        if (performance.now() - this.#placedAt < PLACING_PAUSE_MS) {
-            setTimeout(place, PLACING_PAUSE_MS);
+        if (performance.now() - this.#lastPlacementAtMs < PLACEMENT_INTERVAL_MS) {
+            setTimeout(place, PLACEMENT_INTERVAL_MS);
         } else {
             setImmediate(place);
         }
@@ -316,7 +321,7 @@
      * Has what was decided agreed on and carried out, with nobody waiting for it. When the lead
      * ends meanwhile, the next leader decides anew from what was agreed on.
      */
-    #flushSoon(): void {
+    #flushInBackground(): void {
         this.#flush().catch((error: Error) => {
             this.#options.log.warn("decisions dropped", { error: error.message });
         });
@@ -328,16 +333,16 @@
         if (facts.length > 0) {
             await this.#propose(facts);
         }
-        this.#effects.add(effects);
+        this.#effectQueue.add(effects);
         if (facts.length + effects.length > 0) {
-            this.#schedulePlacing();
+            this.#schedulePlacement();
         }
     }
 
     async #propose(facts: readonly Fact[]): Promise<void> {
-        const startedAt = performance.now();
+        const startedAtMs = performance.now();
         await this.#options.propose({ at: this.#options.clock.getWall(), facts });
-        this.#options.metrics?.commitSeconds.observe((performance.now() - startedAt) / 1_000);
+        this.#options.metrics?.commitSeconds.observe((performance.now() - startedAtMs) / 1_000);
     }
 
     #recordDecision(
@@ -346,7 +351,7 @@
         fields: Readonly<Record<string, unknown>>,
     ): void {
         const { metrics } = this.#options;
-        this.#decisions.record(kind, event, fields);
+        this.#decisionLog.record(kind, event, fields);
         if (metrics === undefined) {
             return;
         }
@@ -375,10 +380,10 @@
                 void this.#runPace(effect.member);
                 return;
             case "watch":
-                this.#watch.start(effect.worker);
+                this.#workerPoller.start(effect.worker);
                 return;
             case "look":
-                void this.#watch.look(effect.worker);
+                void this.#workerPoller.pollImmediately(effect.worker);
                 return;
             case "advise":
                 void this.#runAdvise(effect);
@@ -397,7 +402,7 @@
             );
             this.#dispatcher.handleStartAnswer(member, answer);
         }
-        this.#flushSoon();
+        this.#flushInBackground();
     }
 
     async #runStop(member: MemberRun): Promise<void> {
@@ -408,7 +413,7 @@
             );
             this.#dispatcher.handleStopAnswer(member, answer);
         }
-        this.#flushSoon();
+        this.#flushInBackground();
     }
 
     async #runPace(member: MemberRun): Promise<void> {
@@ -423,17 +428,17 @@
 
     /** Sends an order only while nobody else can lead; otherwise it counts as unanswered. */
     async #sendOrder(
-        tries: number,
+        previousTries: number,
         send: (timeoutMs: number) => Promise<OrderAnswer>,
     ): Promise<OrderAnswer> {
-        const isServing = await this.#options.waitServing();
-        if (!isServing) {
+        const hasLease = await this.#options.waitForLease();
+        if (!hasLease) {
             return { type: "unanswered", cause: "not serving" };
         }
-        const sentAt = performance.now();
-        const answer = await send(this.#roundTrips.computeTimeoutMs(tries));
+        const sentAtMs = performance.now();
+        const answer = await send(this.#roundTripEstimator.computeTimeoutMs(previousTries));
         if (answer.type === "accepted" || answer.type === "refused") {
-            this.#roundTrips.record(performance.now() - sentAt);
+            this.#roundTripEstimator.record(performance.now() - sentAtMs);
         }
         return answer;
     }
@@ -441,9 +446,9 @@
     async #runAdvise(effect: Extract<Effect, { type: "advise" }>): Promise<void> {
         const { call, lane } = effect;
         const timeoutMs = Math.ceil(
-            computeCallMs(call) * ADVICE_TIMEOUT_FACTOR + ADVICE_TIMEOUT_EXTRA_MS,
+            computeCallMs(call) * ADVICE_TIMEOUT_FACTOR + ADVICE_TIMEOUT_MARGIN_MS,
         );
-        const startedAt = this.#options.clock.getNow();
+        const startedAtMs = this.#options.clock.getNow();
         const answer = await this.#options
             .advise(lane, { step: call.step, workers: call.workers, timeoutMs })
             .catch((error: Error) => {
@@ -454,14 +459,14 @@
                 });
                 return { admissions: undefined };
             });
-        const tookMs = this.#options.clock.getNow() - startedAt;
-        this.#options.metrics?.adviceSeconds.observe(tookMs / 1_000);
-        const ageMs = Math.max(0, tookMs - computeCallMs(call));
-        this.#dispatcher.handleAdvice(call, answer.admissions, Math.min(ageMs, ADVICE_AGE_CAP_MS));
-        this.#schedulePlacing();
-        this.#flushSoon();
+        const durationMs = this.#options.clock.getNow() - startedAtMs;
+        this.#options.metrics?.adviceSeconds.observe(durationMs / 1_000);
+        const ageMs = Math.max(0, durationMs - computeCallMs(call));
+        this.#dispatcher.handleAdvice(call, answer.admissions, Math.min(ageMs, MAX_ADVICE_AGE_MS));
+        this.#schedulePlacement();
+        this.#flushInBackground();
     }
 }
 
 /** The way back from the service through the front, at most, in ms; the wait before is not age. */
-const ADVICE_AGE_CAP_MS = 50;
+const MAX_ADVICE_AGE_MS = 50;
--- a/control/mod.ts
+++ b/control/mod.ts
@@ -10,8 +10,8 @@
  */
 
 export * from "./calls.ts";
-export * from "./clock_guard.ts";
+export * from "./clock_jump_detector.ts";
 export * from "./daemon.ts";
 export * from "./leadership.ts";
 export * from "./state_reader.ts";
-export * from "./worker_watch.ts";
+export * from "./worker_poller.ts";
--- a/control/round_trips.ts
+++ b/control/round_trip_estimator.ts
@@ -7,7 +7,7 @@
  *
  * @example
  * ```ts
- * import { RoundTrips } from "./round_trips.ts";
+ * import { RoundTrips } from "./round_trip_estimator.ts";
  * const trips = new RoundTrips();
  * trips.record(4);
  * trips.computeTimeoutMs(1); // 120
@@ -20,44 +20,47 @@
 const MEAN_WEIGHT = 1 / 8;
 const DEVIATION_WEIGHT = 1 / 4;
 /** The timeout is the mean and so many deviations. */
-const DEVIATIONS = 4;
+const DEVIATION_FACTOR = 4;
 /** Never shorter than this, in ms: a pause of either side's event loop is no loss. */
-const SHORTEST_MS = 120;
+const MIN_TIMEOUT_MS = 120;
 /** Never longer than this, in ms: an urgent task's objective leaves little more for all its tries. */
-const LONGEST_MS = 400;
+const MAX_TIMEOUT_MS = 400;
 
 /** A running estimate of how long answers take. */
-export class RoundTrips {
+export class RoundTripEstimator {
     #meanMs: number | undefined;
     #deviationMs = 0;
 
     /**
      * Records how long an answer took.
      *
-     * @param tookMs The time, in ms.
+     * @param roundTripMs The time, in ms.
      */
-    record(tookMs: number): void {
+    record(roundTripMs: number): void {
         if (this.#meanMs === undefined) {
-            this.#meanMs = tookMs;
-            this.#deviationMs = tookMs / 2;
+            this.#meanMs = roundTripMs;
+            this.#deviationMs = roundTripMs / 2;
             return;
         }
-        const off = Math.abs(tookMs - this.#meanMs);
-        this.#deviationMs += DEVIATION_WEIGHT * (off - this.#deviationMs);
-        this.#meanMs += MEAN_WEIGHT * (tookMs - this.#meanMs);
+        const deviationMs = Math.abs(roundTripMs - this.#meanMs);
+        this.#deviationMs += DEVIATION_WEIGHT * (deviationMs - this.#deviationMs);
+        this.#meanMs += MEAN_WEIGHT * (roundTripMs - this.#meanMs);
     }
 
     /**
      * Computes how long to wait for an answer.
      *
-     * @param tries How often the order was sent before; each try waits twice as long as the one before.
+     * @param previousTries How often the order was sent before; each try waits twice as long as the one before.
      * @returns Ms; the longest timeout while no answer was seen yet.
      */
-    computeTimeoutMs(tries: number): number {
+    computeTimeoutMs(previousTries: number): number {
         if (this.#meanMs === undefined) {
-            return LONGEST_MS;
+            return MAX_TIMEOUT_MS;
         }
-        const first = Math.max(SHORTEST_MS, this.#meanMs + DEVIATIONS * this.#deviationMs);
-        return Math.ceil(Math.min(LONGEST_MS, first * 2 ** tries));
+        const firstTimeoutMs = Math.max(
+            MIN_TIMEOUT_MS,
+            this.#meanMs + DEVIATION_FACTOR * this.#deviationMs,
+        );
+        return Math.ceil(Math.min(MAX_TIMEOUT_MS, firstTimeoutMs * 2 ** previousTries));
     }
 }
--- a/control/state_reader.ts
+++ b/control/state_reader.ts
@@ -22,11 +22,11 @@
  * between two looks at a worker, the way, a commit), below the silence after which a front takes the leader for
  * lost.
  */
-const DEFAULT_HOLD_MS = 200;
+const DEFAULT_MAX_WAIT_MS = 200;
 /** Questions that wait at the same time at most: some hundred bytes each. */
-const MAX_WAITING = 2_000;
+const MAX_WAITING_READS = 2_000;
 
-interface Waiter {
+interface PendingRead {
     readonly job: JobId;
     readonly finish: () => void;
 }
@@ -34,14 +34,14 @@
 /** Options of {@link StateReader}. */
 export interface StateReaderOptions {
     /** How long a question waits, in ms. */
-    readonly holdMs?: number;
+    readonly maxWaitMs?: number;
 }
 
 /** Reads of one replica. */
 export class StateReader {
     readonly #ledger: StateStore;
-    readonly #holdMs: number;
-    readonly #waiters = new Set<Waiter>();
+    readonly #maxWaitMs: number;
+    readonly #pendingReads = new Set<PendingRead>();
 
     /**
      * @param ledger The replica.
@@ -49,7 +49,7 @@
      */
     constructor(ledger: StateStore, options: StateReaderOptions = {}) {
         this.#ledger = ledger;
-        this.#holdMs = options.holdMs ?? DEFAULT_HOLD_MS;
+        this.#maxWaitMs = options.maxWaitMs ?? DEFAULT_MAX_WAIT_MS;
     }
 
     /**
@@ -60,7 +60,7 @@
      */
     async readState(id: JobId): Promise<CallerAnswer | undefined> {
         const job = this.#ledger.jobs.get(id);
-        if (job !== undefined && isAboutToEnd(job) && this.#waiters.size < MAX_WAITING) {
+        if (job !== undefined && isAboutToEnd(job) && this.#pendingReads.size < MAX_WAITING_READS) {
             await this.#waitForEnd(id);
         }
         const known = this.#ledger.jobs.get(id);
@@ -68,10 +68,10 @@
     }
 
     /** Answers the questions about jobs that have ended; called after each change of the replica. */
-    update(): void {
-        for (const waiter of this.#waiters) {
-            if (this.#ledger.jobs.get(waiter.job)?.endedAt !== undefined) {
-                waiter.finish();
+    resolveEndedJobs(): void {
+        for (const pendingRead of this.#pendingReads) {
+            if (this.#ledger.jobs.get(pendingRead.job)?.endedAt !== undefined) {
+                pendingRead.finish();
             }
         }
     }
@@ -80,18 +80,18 @@
         return new Promise((resolve) => {
             const finish = (): void => {
                 clearTimeout(timer);
-                this.#waiters.delete(waiter);
+                this.#pendingReads.delete(pendingRead);
                 resolve();
             };
-            const timer = setTimeout(finish, this.#holdMs);
-            const waiter: Waiter = { job, finish };
-            this.#waiters.add(waiter);
+            const timer = setTimeout(finish, this.#maxWaitMs);
+            const pendingRead: PendingRead = { job, finish };
+            this.#pendingReads.add(pendingRead);
         });
     }
 }
 
 /** A job of set times, or whose tasks last, is not asked about because it is about to end. */
 function isAboutToEnd(job: Job): boolean {
-    const isShort = job.spec?.repeats === 0 && job.spec.steps.every((step) => !step.isPerpetual);
-    return job.state === "running" && isShort;
+    const isOneShot = job.spec?.repeats === 0 && job.spec.steps.every((step) => !step.isPerpetual);
+    return job.state === "running" && isOneShot;
 }
--- a/control/state_reader_test.ts
+++ b/control/state_reader_test.ts
@@ -4,15 +4,15 @@
 import { StateReader } from "./state_reader.ts";
 
 const JOB = "00000000000000a1" as JobId;
-const HOLD_MS = 300;
+const MAX_WAIT_MS = 300;
 
-function buildRunning(spec: JobSpec): { ledger: StateStore; reader: StateReader } {
+function buildRunningJob(spec: JobSpec): { ledger: StateStore; reader: StateReader } {
     const ledger = new StateStore();
     const unit = { job: JOB, occurrence: 0, step: 0, unit: 0 };
     const members = [[0, "w1" as WorkerId]] as const;
     applyFact(ledger, { type: "jobAccepted", job: JOB, queue: QUEUE, pool: POOL, spec });
     applyFact(ledger, { type: "attemptStarted", unit, attempt: 1, members });
-    return { ledger, reader: new StateReader(ledger, { holdMs: HOLD_MS }) };
+    return { ledger, reader: new StateReader(ledger, { maxWaitMs: MAX_WAIT_MS }) };
 }
 
 function applyFact(ledger: StateStore, fact: Fact): void {
@@ -34,29 +34,29 @@
 test("a caller that asks just before its job's end is on record is told of the end", async (t) => {
     // The caller sees its last task end and asks at once; the end is on its way to the replica. Told
     // `running` it would come again after a pause of its own, a quarter of a second later.
-    const { ledger, reader } = buildRunning(buildSpec({}));
+    const { ledger, reader } = buildRunningJob(buildSpec({}));
     const startedAt = performance.now();
     const answer = reader.readState(JOB);
     setTimeout(() => {
         endTask(ledger);
-        reader.update();
+        reader.resolveEndedJobs();
     }, 40);
     t.deepEqual(await answer, { type: "state", state: "complete" });
-    t.true(performance.now() - startedAt < HOLD_MS);
+    t.true(performance.now() - startedAt < MAX_WAIT_MS);
 });
 
 test("a job that goes on is said to run after a moment", async (t) => {
-    const { reader } = buildRunning(buildSpec({}));
+    const { reader } = buildRunningJob(buildSpec({}));
     t.deepEqual(await reader.readState(JOB), { type: "state", state: "running" });
 });
 
 test("jobs that end some other time, ended jobs and unknown ones are answered at once", async (t) => {
     const startedAt = performance.now();
-    const lasting = buildRunning(buildSpec({ isPerpetual: true }));
-    t.deepEqual(await lasting.reader.readState(JOB), { type: "state", state: "running" });
-    const { ledger, reader } = buildRunning(buildSpec({}));
+    const perpetual = buildRunningJob(buildSpec({ isPerpetual: true }));
+    t.deepEqual(await perpetual.reader.readState(JOB), { type: "state", state: "running" });
+    const { ledger, reader } = buildRunningJob(buildSpec({}));
     endTask(ledger);
     t.deepEqual(await reader.readState(JOB), { type: "state", state: "complete" });
     t.is(await reader.readState("00000000000000b2" as JobId), undefined);
-    t.true(performance.now() - startedAt < HOLD_MS);
+    t.true(performance.now() - startedAt < MAX_WAIT_MS);
 });
--- a/control/timings.ts
+++ b/control/timings.ts
@@ -26,30 +26,30 @@
  */
 const LARGE_TIMINGS: ConsensusTimings = { heartbeatMs: 80, electionMs: 400 };
 /** Deployments that bear the loss of so many instances at once are large. */
-const LARGE_TOLERATED = 2;
+const LARGE_DEPLOYMENT_FAILURES = 2;
 
 /**
  * Selects the timings of a control group. All members get the same, as a lease relies on it: they come
  * from the deployment's own figures, not from the floor as one member sees it.
  *
- * @param tolerated How many instances may be lost at once.
+ * @param toleratedFailures How many instances may be lost at once.
  * @returns The timings.
  */
-export function selectTimings(tolerated: number): ConsensusTimings {
-    return tolerated >= LARGE_TOLERATED ? LARGE_TIMINGS : SMALL_TIMINGS;
+export function selectTimings(toleratedFailures: number): ConsensusTimings {
+    return toleratedFailures >= LARGE_DEPLOYMENT_FAILURES ? LARGE_TIMINGS : SMALL_TIMINGS;
 }
 
 /** How much longer than an election timeout a silent instance is waited for, in ms. */
-const SILENCE_EXTRA_MS = 100;
+const FAILOVER_MARGIN_MS = 100;
 
 /**
  * Selects how long an instance may answer nothing before its callers go elsewhere. The pattern: a leader that has
  * just taken over hundreds of workers is busy for half a second. Given up before anybody else can lead, it
  * gets each call again, and the callers' deadlines pass in searching.
  *
- * @param tolerated How many instances may be lost at once.
+ * @param toleratedFailures How many instances may be lost at once.
  * @returns Ms.
  */
-export function selectSilenceMs(tolerated: number): number {
-    return selectTimings(tolerated).electionMs + SILENCE_EXTRA_MS;
+export function selectFailoverTimeoutMs(toleratedFailures: number): number {
+    return selectTimings(toleratedFailures).electionMs + FAILOVER_MARGIN_MS;
 }
--- a/control/timings_test.ts
+++ b/control/timings_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { selectSilenceMs, selectTimings } from "./timings.ts";
+import { selectFailoverTimeoutMs, selectTimings } from "./timings.ts";
 
 test("large deployments wait longer for their leader, and every member alike", (t) => {
     const small = selectTimings(1);
@@ -14,6 +14,6 @@
     // Callers of a leader that is busy taking over are answered late; given up at once, each of their calls
     // reaches it again and again, and none is answered within its deadline.
     [1, 2, 3].forEach((tolerated) =>
-        t.true(selectSilenceMs(tolerated) > selectTimings(tolerated).electionMs),
+        t.true(selectFailoverTimeoutMs(tolerated) > selectTimings(tolerated).electionMs),
     );
 });
--- a/control/voter_roster.ts
+++ b/control/voter_planner.ts
@@ -6,7 +6,7 @@
  *
  * @example
  * ```ts
- * import { VoterRoster } from "./voter_roster.ts";
+ * import { VoterRoster } from "./voter_planner.ts";
  * const roster = new VoterRoster({ self, zone, target: 3, listSeeds });
  * roster.startLeading(now);
  * roster.plan(now, current, live);
@@ -18,72 +18,82 @@
 
 import { planVoters, type EntryId } from "../membership/mod.ts";
 
-/** Options of {@link VoterRoster}. */
-export interface VoterRosterOptions {
+/** Options of {@link VoterPlanner}. */
+export interface VoterPlannerOptions {
     readonly self: EntryId;
     readonly zone: string;
     /** How many should vote. */
-    readonly target: number;
+    readonly targetVoters: number;
     /** Instances from the settings: the voters of the first start, later no more than contacts. */
     readonly listSeeds: () => readonly string[];
 }
 
 /** A new leader hears everybody's greeting within this time, in ms. */
-const ACQUAINTANCE_MS = 3_000;
+const STABILIZATION_MS = 3_000;
 
 /** The voters that one instance wants. */
-export class VoterRoster {
-    readonly #options: VoterRosterOptions;
+export class VoterPlanner {
+    readonly #options: VoterPlannerOptions;
     /** Set once this instance leads and has heard from everybody. */
-    #planned: readonly EntryId[] | undefined;
-    #leadingSince = 0;
+    #plannedVoters: readonly EntryId[] | undefined;
+    #leadingSinceMs = 0;
 
     /**
      * @param options Identity, target, seeds.
      */
-    constructor(options: VoterRosterOptions) {
+    constructor(options: VoterPlannerOptions) {
         this.#options = options;
     }
 
     /**
      * Notes that this instance leads from now on.
      *
-     * @param now Our clock, in ms.
+     * @param nowMs Our clock, in ms.
      */
-    startLeading(now: number): void {
-        this.#leadingSince = now;
+    startLeading(nowMs: number): void {
+        this.#leadingSinceMs = nowMs;
     }
 
     /** Notes that another instance may lead: what was planned here is over. */
     stopLeading(): void {
-        this.#planned = undefined;
+        this.#plannedVoters = undefined;
     }
 
     /**
      * Plans the voters, unless the lead is too new to know who is there.
      *
-     * @param now Our clock, in ms.
-     * @param current Instances that vote now.
-     * @param live Instances heard from lately, but for this one, with their availability zones.
+     * @param nowMs Our clock, in ms.
+     * @param currentVoters Instances that vote now.
+     * @param liveInstances Instances heard from lately, but for this one, with their availability zones.
      */
-    plan(now: number, current: readonly EntryId[], live: ReadonlyMap<EntryId, string>): void {
-        if (now - this.#leadingSince < ACQUAINTANCE_MS) {
+    planVoters(
+        nowMs: number,
+        currentVoters: readonly EntryId[],
+        liveInstances: ReadonlyMap<EntryId, string>,
+    ): void {
+        if (nowMs - this.#leadingSinceMs < STABILIZATION_MS) {
             return;
         }
-        const { self, zone, target } = this.#options;
-        this.#planned = planVoters({ current, live: new Map(live).set(self, zone), target });
+        const { self, zone, targetVoters: target } = this.#options;
+        this.#plannedVoters = planVoters({
+            current: currentVoters,
+            live: new Map(liveInstances).set(self, zone),
+            target,
+        });
     }
 
     /**
      * Lists the instances that should vote: what a leader planned, else those that do.
      *
-     * @param current Instances that vote now; none before the first start.
+     * @param currentVoters Instances that vote now; none before the first start.
      * @returns The instances.
      */
-    listWanted(current: readonly EntryId[]): readonly EntryId[] {
-        if (this.#planned !== undefined) {
-            return this.#planned;
+    listDesiredVoters(currentVoters: readonly EntryId[]): readonly EntryId[] {
+        if (this.#plannedVoters !== undefined) {
+            return this.#plannedVoters;
         }
-        return current.length > 0 ? current : ([...this.#options.listSeeds()].sort() as EntryId[]);
+        return currentVoters.length > 0
+            ? currentVoters
+            : ([...this.#options.listSeeds()].sort() as EntryId[]);
     }
 }
--- /dev/null
+++ b/control/voter_planner_test.ts
@@ -0,0 +1,32 @@
+import test from "ava";
+import type { EntryId } from "../membership/mod.ts";
+import { VoterPlanner } from "./voter_planner.ts";
+
+const [A, B, C, D] = ["a:1", "b:1", "c:1", "d:1"] as [EntryId, EntryId, EntryId, EntryId];
+
+function buildPlanner(seeds: readonly string[]): VoterPlanner {
+    return new VoterPlanner({ self: A, zone: "z1", targetVoters: 3, listSeeds: () => seeds });
+}
+
+test("the seeds vote at the first start, and are no plan afterwards", (t) => {
+    const planner = buildPlanner([C, B, A]);
+    t.deepEqual(planner.listDesiredVoters([]), [A, B, C]);
+    t.deepEqual(planner.listDesiredVoters([B, C, D]), [B, C, D]);
+});
+
+test("a new leader exchanges nobody before it has heard from everybody", (t) => {
+    // One voter comes back a second later than the others. Taken for dead at once it would be replaced by the
+    // instance that does not vote, and the lead's first seconds would go into two changes of the voters.
+    const planner = buildPlanner([A, B, C]);
+    const live = new Map([
+        [B, "z2"],
+        [D, "z4"],
+    ]);
+    planner.startLeading(10_000);
+    planner.planVoters(12_000, [A, B, C], live);
+    t.deepEqual(planner.listDesiredVoters([A, B, C]), [A, B, C]);
+    planner.planVoters(13_000, [A, B, C], live);
+    t.deepEqual(planner.listDesiredVoters([A, B, C]), [A, B, D]);
+    planner.stopLeading();
+    t.deepEqual(planner.listDesiredVoters([A, B, C]), [A, B, C]);
+});
--- a/control/worker_watch.ts
+++ b/control/worker_poller.ts
@@ -4,7 +4,7 @@
  *
  * @example
  * ```ts
- * import { WorkerWatch } from "./worker_watch.ts";
+ * import { WorkerWatch } from "./worker_poller.ts";
  * const watch = new WorkerWatch({ dispatcher, calls, flush });
  * watch.start(worker);
  * ```
@@ -16,35 +16,35 @@
 import type { WorkerId } from "../job/mod.ts";
 import type { WorkerCalls } from "./calls.ts";
 
-/** Options of {@link WorkerWatch}. */
-export interface WorkerWatchOptions {
+/** Options of {@link WorkerPoller}. */
+export interface WorkerPollerOptions {
     readonly dispatcher: Dispatcher;
-    readonly calls: WorkerCalls;
+    readonly workerCalls: WorkerCalls;
     /** Agrees on what a look told, before the worker may forget it. */
     readonly flush: () => Promise<void>;
     /** Whether this process still leads; a look of one that does not must not renew a lease. */
-    readonly waitServing: () => Promise<boolean>;
+    readonly waitForLease: () => Promise<boolean>;
 }
 
 /**
  * Pause between two looks at a worker, in ms. Ends that fall into it come with one look instead
  * of several. An end is noticed later by half of it in the mean, which the shortest objective bears.
  */
-const LOOK_PAUSE_MS = 100;
+const POLL_INTERVAL_MS = 100;
 /** Pause after a look without an answer, in ms. */
-const FAILED_LOOK_PAUSE_MS = 150;
+const FAILED_POLL_BACKOFF_MS = 150;
 
 /** The looks of one leader. */
-export class WorkerWatch {
-    readonly #options: WorkerWatchOptions;
-    readonly #watched = new Set<WorkerId>();
-    readonly #looking = new Set<WorkerId>();
+export class WorkerPoller {
+    readonly #options: WorkerPollerOptions;
+    readonly #polledWorkers = new Set<WorkerId>();
+    readonly #immediatePolls = new Set<WorkerId>();
     #isStopped = false;
 
     /**
-     * @param options The decisions, the calls; see {@link WorkerWatchOptions}.
+     * @param options The decisions, the calls; see {@link WorkerPollerOptions}.
      */
-    constructor(options: WorkerWatchOptions) {
+    constructor(options: WorkerPollerOptions) {
         this.#options = options;
     }
 
@@ -54,9 +54,9 @@
      * @param id The worker.
      */
     start(id: WorkerId): void {
-        if (!this.#watched.has(id)) {
-            this.#watched.add(id);
-            void this.#run(id);
+        if (!this.#polledWorkers.has(id)) {
+            this.#polledWorkers.add(id);
+            void this.#runPollLoop(id);
         }
     }
 
@@ -66,8 +66,8 @@
      * @param id The worker.
      * @returns True until nothing runs there any more.
      */
-    isWatching(id: WorkerId): boolean {
-        return this.#watched.has(id);
+    isPolling(id: WorkerId): boolean {
+        return this.#polledWorkers.has(id);
     }
 
     /**
@@ -75,16 +75,16 @@
      *
      * @param id The worker.
      */
-    async look(id: WorkerId): Promise<void> {
-        if (this.#looking.has(id)) {
+    async pollImmediately(id: WorkerId): Promise<void> {
+        if (this.#immediatePolls.has(id)) {
             return;
         }
-        this.#looking.add(id);
-        const order = this.#prepareLook(id, false);
+        this.#immediatePolls.add(id);
+        const order = this.#preparePoll(id, false);
         if (order !== undefined) {
-            await this.#sendLook(order);
+            await this.#sendPoll(order);
         }
-        this.#looking.delete(id);
+        this.#immediatePolls.delete(id);
         this.start(id);
     }
 
@@ -93,33 +93,33 @@
         this.#isStopped = true;
     }
 
-    async #run(id: WorkerId): Promise<void> {
+    async #runPollLoop(id: WorkerId): Promise<void> {
         for (;;) {
-            const order = this.#prepareLook(id, true);
+            const order = this.#preparePoll(id, true);
             if (order === undefined) {
                 break;
             }
-            const answer = await this.#sendLook(order);
-            const pause = answer.type === "state" ? LOOK_PAUSE_MS : FAILED_LOOK_PAUSE_MS;
-            await new Promise((resolve) => setTimeout(resolve, pause));
+            const answer = await this.#sendPoll(order);
+            const pauseMs = answer.type === "state" ? POLL_INTERVAL_MS : FAILED_POLL_BACKOFF_MS;
+            await new Promise((resolve) => setTimeout(resolve, pauseMs));
         }
-        this.#watched.delete(id);
+        this.#polledWorkers.delete(id);
     }
 
-    #prepareLook(id: WorkerId, mayWait: boolean): LookOrder | undefined {
-        return this.#isStopped ? undefined : this.#options.dispatcher.prepareLook(id, mayWait);
+    #preparePoll(id: WorkerId, isLongPoll: boolean): LookOrder | undefined {
+        return this.#isStopped ? undefined : this.#options.dispatcher.prepareLook(id, isLongPoll);
     }
 
-    async #sendLook(order: LookOrder): Promise<LookAnswer> {
-        const { dispatcher, calls, flush, waitServing } = this.#options;
-        const isServing = await waitServing();
-        if (!isServing) {
+    async #sendPoll(order: LookOrder): Promise<LookAnswer> {
+        const { dispatcher, workerCalls, flush, waitForLease } = this.#options;
+        const hasLease = await waitForLease();
+        if (!hasLease) {
             return { type: "unanswered", cause: "not serving" };
         }
-        const sentAt = performance.now();
-        const answer = await calls.look(order);
+        const sentAtMs = performance.now();
+        const answer = await workerCalls.poll(order);
         if (!this.#isStopped) {
-            dispatcher.handleLook(order, sentAt, answer);
+            dispatcher.handleLook(order, sentAtMs, answer);
             // Without a lead any more the loop ends; the ends stay listed for the next leader.
             await flush().catch(() => this.stop());
         }
--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -24,11 +24,11 @@
     type CallerCall,
     type HelloAnswer,
     type HelloCall,
-    type HelloLimits,
-    type ReachAnswer,
+    type CallerLimits,
+    type ReachabilityAnswer,
     type RelayCall,
 } from "../control/calls.ts";
-import { selectSilenceMs } from "../control/timings.ts";
+import { selectFailoverTimeoutMs } from "../control/timings.ts";
 // Imported directly, since `job/mod.ts` would load the state charts, which a front does not need.
 import { isJobId } from "../job/types.ts";
 import type { ControlMetrics } from "../telemetry/control_metrics.ts";
@@ -125,7 +125,7 @@
     #isSendingHello = false;
     #peersReceivedAtMs = Number.NEGATIVE_INFINITY;
     #isDraining = false;
-    #limits: HelloLimits | undefined;
+    #limits: CallerLimits | undefined;
     /** The address that the leader gave in its last `hello` answer; empty before the first one. */
     #leaderAddress = "";
     readonly #replicaClients = new RpcClientPool({ timeoutMs: REPLICA_READ_TIMEOUT_MS });
@@ -139,12 +139,12 @@
         this.#options = options;
         this.#router = new LeaderRouter({
             listSeeds: options.listSeeds,
-            silenceMs: selectSilenceMs(options.tolerated ?? 1),
+            silenceMs: selectFailoverTimeoutMs(options.tolerated ?? 1),
         });
         this.#reachability = new LeaderReachability({
             zone: options.zone,
             probe: (address) =>
-                this.#peerClients.getClient(address).call<ReachAnswer>(METHODS.reach, {}),
+                this.#peerClients.getClient(address).call<ReachabilityAnswer>(METHODS.reach, {}),
             canConnect: (address) => isListening(address, PEER_PROBE_TIMEOUT_MS),
             onLeaderFound: (leader) => {
                 this.#router.adoptLeader(leader);
@@ -170,7 +170,7 @@
     }
 
     /** The limits in force for callers; `undefined` until the leader has sent them. */
-    get limits(): HelloLimits | undefined {
+    get limits(): CallerLimits | undefined {
         return this.#limits;
     }
 
@@ -363,7 +363,7 @@
         return this.#hasBalancerFailedOver ? 0 : BEFORE_FAILOVER_RETRY_MS;
     }
 
-    #describeReachability(): ReachAnswer {
+    #describeReachability(): ReachabilityAnswer {
         const { hearsLeader } = this.#reachability;
         return hearsLeader && this.#leaderAddress !== ""
             ? { hearsLeader, leader: this.#leaderAddress }
--- a/front/leader_reachability.ts
+++ b/front/leader_reachability.ts
@@ -15,7 +15,7 @@
  * @module
  */
 
-import type { PeerFront, ReachAnswer } from "../control/calls.ts";
+import type { PeerFront, ReachabilityAnswer } from "../control/calls.ts";
 
 /** How the leader can be reached, as far as known. */
 export type ReachabilityState =
@@ -44,7 +44,7 @@
 export interface LeaderReachabilityOptions {
     readonly zone: string;
     /** Asks a peer whether it reaches the leader; rejects if the peer does not answer. */
-    readonly probe: (address: string) => Promise<ReachAnswer>;
+    readonly probe: (address: string) => Promise<ReachabilityAnswer>;
     /** Tells whether a connection to an instance can be opened; without it, none can. */
     readonly canConnect?: (address: string) => Promise<boolean>;
     /** Called with a leader that a peer reaches and that this front can connect to. */
