--- a/control/_fixtures.ts
+++ b/control/_fixtures.ts
@@ -1,11 +1,11 @@
 /**
- * Control instances and a front on loopback, with stand-in workers and a stand-in advice service,
- * all in one process.
+ * Test fixtures: control instances and a front on loopback with simulated workers and a simulated
+ * advice service, all in one process.
  *
  * @example
  * ```ts
  * import { ClusterFixture } from "./_fixtures.ts";
- * const cluster = await ClusterFixture.start({ members: 3, workers: 4 });
+ * const cluster = await ClusterFixture.start({ memberCount: 3, workerCount: 4 });
  * await cluster.stop();
  * ```
  *
@@ -35,26 +35,26 @@
     readonly memberCount: number;
     readonly workerCount: number;
     readonly taskMs?: number;
-    /** Timings of the group; those of a small deployment by default. */
+    /** The consensus timings; by default those of a small deployment. */
     readonly timings?: ConsensusTimings;
-    /** So many of the members are the seeds at first; all by default. */
+    /** The number of members that are seeds at first; all by default. */
     readonly seedCount?: number;
 }
 
-/** How often a stand-in worker looks for an end while a look waits, in ms. */
+/** How often a simulated worker checks for ended tasks during a long poll, in ms. */
 const WORKER_POLL_INTERVAL_MS = 10;
 const CONDITION_POLL_INTERVAL_MS = 25;
 
-/** One cluster. */
+/** A cluster in one process. */
 export class ClusterFixture {
     readonly daemons = new Map<string, ControlDaemon>();
     readonly workers = new Map<WorkerId, TaskWorker>();
     readonly startedTasks: string[] = [];
     readonly #dir = mkdtempSync(join(tmpdir(), "poplarhead-control-"));
     readonly #addresses: readonly string[];
-    /** What the settings files name; a test may exchange them. */
+    /** The seeds of the settings; a test may replace them. */
     seeds: readonly string[];
-    /** What all processes logged, as one text. */
+    /** The log output of all processes. */
     readonly logLines: string[] = [];
     readonly #options: ClusterOptions;
     readonly front: FrontDaemon;
@@ -92,7 +92,7 @@
         return cluster;
     }
 
-    /** Starts (or restarts) a member on its data folder. */
+    /** Starts or restarts a member on its data folder. */
     async startMember(address: string, bootstrap = false): Promise<void> {
         const daemon = new ControlDaemon({
             address,
@@ -110,7 +110,7 @@
         this.daemons.set(address, daemon);
     }
 
-    /** Stops a member; with `wipe`, its disk is lost too. */
+    /** Stops a member; `wipe` also deletes its data folder. */
     async stopMember(address: string, wipe = false): Promise<void> {
         await this.daemons.get(address)?.stop();
         this.daemons.delete(address);
@@ -119,12 +119,12 @@
         }
     }
 
-    /** Every member's address, whether it runs or not. */
+    /** The addresses of all members, running or not. */
     get addresses(): readonly string[] {
         return this.#addresses;
     }
 
-    /** The address of the member that leads, once there is one. */
+    /** Waits for a leader and returns its address. */
     async waitForLeader(): Promise<string> {
         let found: string | undefined;
         await waitUntil(() => {
@@ -134,7 +134,7 @@
         return found ?? "";
     }
 
-    /** Stops everything. */
+    /** Stops all processes and deletes the data folders. */
     async stop(): Promise<void> {
         clearInterval(this.#heartbeats);
         await this.front.stop();
@@ -159,7 +159,7 @@
         const daemon = [...this.daemons.values()][0];
         for (const [id, worker] of this.workers) {
             const record = buildWorkerReport({ id, address: `worker:${id}` });
-            // No leader yet, or none any more: the next heartbeat tries again.
+            // Without a leader the heartbeat fails; the next one tries again.
             await daemon
                 ?.handleHeartbeat({
                     record,
@@ -194,16 +194,16 @@
     }
 }
 
-/** What a test decides about a leadership without a group. */
+/** Options of {@link buildLeadership}. */
 export interface LeadershipFixtureOptions {
     readonly waitForLease: () => Promise<boolean>;
-    /** Takes the name of each task whose start reaches its worker. */
+    /** Called with the name of each task whose start order reaches its worker. */
     readonly onStart: (task: string) => void;
-    /** Takes log lines. */
+    /** Called with log lines. */
     readonly onLogLines: (lines: string) => void;
 }
 
-/** Builds the leadership of a group of one, with a worker that answers everything at once. */
+/** Builds a leadership without a group, with a worker that answers every order at once. */
 export function buildLeadership(options: LeadershipFixtureOptions): {
     readonly leadership: Leadership;
     readonly sink: LogSink;
@@ -260,7 +260,7 @@
     };
 }
 
-/** Builds a configuration with one urgent queue, with advice. */
+/** Builds a configuration with one urgent queue that uses advice. */
 export function buildConfiguration(version: number): Configuration {
     return {
         version,
@@ -271,7 +271,11 @@
     };
 }
 
-/** Waits until a condition holds; gives up after 15 s. */
+/**
+ * Waits until a condition holds.
+ *
+ * @throws {Error} After 15 s.
+ */
 export async function waitUntil(isMet: () => boolean | Promise<boolean>): Promise<void> {
     const deadline = performance.now() + 15_000;
     while (!(await isMet())) {
--- a/control/busy_leader_test.ts
+++ b/control/busy_leader_test.ts
@@ -5,14 +5,10 @@
 import { buildConfiguration, buildLeadership, ClusterFixture, waitUntil } from "./_fixtures.ts";
 import { METHODS, type CallerCall } from "./calls.ts";
 
-// The incident: on a floor of 246 workers under a burst an operator sent a valid configuration again and again for five
-// calm seconds, to one control instance after the other, and got no acknowledgement; callers were served as badly. There was
-// one leader all the time, and it decided. It was busy: each try waited for its turn and was given up after
-// 0.9 s, though the configuration was in force by then; and a try read after a long turn was told that nobody leads,
-// because the leader's lease had lapsed in that turn. What proved it: the logs of such a day (one `lead gained`,
-// `control call failed` in every second on all the other instances), and these tests.
+// Guards against a busy leader whose lease expires while the event loop is blocked: calls were
+// forwarded in circles, and orders were dropped and counted as worker failures.
 
-/** So long that a lease (1.6 s) can lapse with 0.35 s to spare before a leader without answers gives up. */
+/** The lease (1.6 s) can expire 0.35 s before the leader resigns without answers from a quorum. */
 const TIMINGS: ConsensusTimings = { heartbeatMs: 80, electionMs: 2_000 };
 const BLOCKED_MS = 1_650;
 const LEASE_LAPSE_MS = 150;
@@ -38,13 +34,12 @@
 function runBlockingLoop(ms: number): void {
     const deadlineMs = performance.now() + ms;
     while (performance.now() < deadlineMs) {
-        // Nothing else runs in this process meanwhile.
+        // Blocks the event loop.
     }
 }
 
 test.serial("a configuration in force is acknowledged without a leader too", async (t) => {
-    // The operator's first try came through, its answer was too late. It sends the same again to an instance that
-    // holds the agreed configuration and reaches no leader: that is all the acknowledgement has to say.
+    // Guards against retries that fail because the answer to the first try came too late.
     const cluster = await startCluster();
     t.teardown(() => cluster.stop());
     const leader = await cluster.waitForLeader();
@@ -59,13 +54,12 @@
     t.deepEqual(await daemon?.handleConfigure(buildConfiguration(1)), { type: "acknowledged" });
     const invalid = { ...buildConfiguration(1), pools: [] };
     t.is((await daemon?.handleConfigure(invalid))?.type, "invalid");
-    // A newer one needs a leader, and there is none: it is neither refused nor acknowledged.
+    // A newer version needs a leader, so the call fails without one.
     await t.throwsAsync(async () => daemon?.handleConfigure(buildConfiguration(3)));
 });
 
 test.serial("a call that a leader reads after a long turn is served, not sent on", async (t) => {
-    // The operator's call reaches the leader while it decides for longer than its lease. Nobody else can be elected in
-    // that time; told to look for another leader, the call would come back here and find the same again.
+    // Guards against a redirect to another leader when no other instance can be elected yet.
     const cluster = await startCluster();
     t.teardown(() => cluster.stop());
     const leader = await cluster.waitForLeader();
@@ -78,8 +72,7 @@
 });
 
 test("orders decided in a long turn are sent, and blame no worker", async (t) => {
-    // Callers wait seconds for workers that are sound. The leader's lease had lapsed in a long turn, the orders of that turn
-    // were not sent, and counted as unanswered by their workers: these got nothing more until they were looked at.
+    // Guards against unsent orders counting as unanswered by healthy workers.
     let isLapsed = true;
     const orders: string[] = [];
     const workerFailures: string[] = [];
--- a/control/calls.ts
+++ b/control/calls.ts
@@ -1,6 +1,5 @@
 /**
- * Calls between the control plane's processes and what they call outside: typed, with the words
- * of the product.
+ * Types of the calls between control instances, fronts, workers and the advice service.
  *
  * @example
  * ```ts
@@ -23,7 +22,7 @@
 } from "../dispatch/mod.ts";
 import type { JobSpec, JobState, Resources, WorkerId } from "../job/mod.ts";
 
-/** Methods that control instances and fronts serve to each other. */
+/** JSON-RPC methods that control instances and fronts serve. */
 export const METHODS = {
     callers: "control.callers",
     heartbeat: "control.heartbeat",
@@ -38,20 +37,20 @@
     reach: "front.reach",
 } as const;
 
-/** A caller's call, addressed by host and path; the leader finds the queue. */
+/** A caller's request. The leader selects the queue from the host and the path. */
 export type CallerCall =
     | {
           readonly type: "submit";
           readonly host: string;
           readonly path: string;
-          /** `undefined` when the body could not be read; then `problem` says why. */
+          /** `undefined` if the body was invalid; `problem` then holds the reason. */
           readonly spec: JobSpec | undefined;
           readonly problem: string;
       }
     | { readonly type: "state"; readonly host: string; readonly path: string }
     | { readonly type: "cancel"; readonly host: string; readonly path: string };
 
-/** The leader's answer to a caller. */
+/** The leader's response to a caller. */
 export type CallerAnswer =
     | { readonly type: "accepted" }
     | { readonly type: "state"; readonly state: JobState }
@@ -60,94 +59,94 @@
     | { readonly type: "unknownJob" }
     | { readonly type: "unknownQueue" }
     | { readonly type: "invalid"; readonly problem: string }
-    /** Not accepted; it never runs because of this call. */
+    /** The job was not admitted and does not run as a result of this call. */
     | { readonly type: "refused"; readonly reason: string; readonly retryAfterMs: number };
 
 /** A worker's heartbeat. */
 export type HeartbeatCall = Heartbeat;
 
-/** Heartbeats that say nothing new, gathered by a member for the leader. */
+/** A batch of keep-alives that a control instance forwards to the leader. */
 export interface KeepAliveBatchCall {
     readonly signs: readonly KeepAlive[];
 }
 
-/** One heartbeat that says nothing but that the worker lives. */
+/** A heartbeat without changes since the worker's last full report. */
 export interface KeepAlive {
     readonly worker: WorkerId;
     readonly sequence: number;
     readonly clockMs: number | undefined;
-    /** The room that it told. */
+    /** The capacity that the worker reported. */
     readonly capacity: Resources;
 }
 
-/** What an instance tells the leader about itself. */
+/** A hello message: an instance announces itself to the leader. */
 export interface HelloCall {
-    /** Where its RPC server listens. */
+    /** The address of its RPC server, `host:port`. */
     readonly address: string;
     readonly zone: string;
     readonly kind: "control" | "front";
-    /** Where workers and operators reach it; empty for a front. */
+    /** The address for workers and operators; empty for a front. */
     readonly publicAddress: string;
-    /** A front asks for other fronts' addresses. */
+    /** Set by a front that requests the addresses of other fronts. */
     readonly wantsPeers?: boolean;
 }
 
-/** What the leader tells in return. */
+/** The leader's response to a hello message. */
 export interface HelloAnswer {
     readonly leader: string;
-    /** RPC addresses of the control instances that are up or vote. */
+    /** RPC addresses of the control instances that are live or are voters. */
     readonly members: readonly string[];
-    /** Where workers and operators reach the leader. */
+    /** The leader's address for workers and operators. */
     readonly publicAddress: string;
     readonly limits: CallerLimits | undefined;
-    /** Members that answer for the states of jobs; empty while the leader does it alone. */
+    /** Instances that serve reads of job states; empty if only the leader does. */
     readonly readers: readonly string[];
-    /** Some fronts of each zone, where they were asked for. */
+    /** Some fronts of each availability zone, if the front requested them. */
     readonly peers?: readonly PeerFront[];
 }
 
-/** A front, as other fronts know it. */
+/** A front that can relay calls for other fronts. */
 export interface PeerFront {
-    /** Where its RPC server listens. */
+    /** The address of its RPC server, `host:port`. */
     readonly address: string;
     readonly zone: string;
 }
 
-/** A caller's call that a front carries to the leader for one that hears none. */
+/** A caller's request that a front relays to the leader for a front that can't reach it. */
 export interface RelayCall {
     readonly call: CallerCall;
-    /** How long the caller still waits, in ms. */
+    /** The remaining time until the caller's deadline, in ms. */
     readonly budgetMs: number;
 }
 
-/** Whether a front hears the leader. */
+/** Tells whether a front can reach the leader. */
 export interface ReachabilityAnswer {
     readonly hearsLeader: boolean;
-    /** The leader's RPC address, as it gave it. */
+    /** The leader's RPC address from its last hello response. */
     readonly leader?: string;
 }
 
-/** The limits in force for callers. */
+/** Limits that fronts enforce on callers' requests. */
 export interface CallerLimits {
     readonly maxBodyBytes: number;
     readonly idleTimeoutMs: number;
 }
 
-/** An advice call that the leader asks a front to make. */
+/** A call to the advice service that the leader delegates to a front. */
 export interface AdviseCall {
     readonly step: string;
     readonly workers: readonly WorkerId[];
-    /** How long the call may take, in ms. */
+    /** The timeout of the call, in ms. */
     readonly timeoutMs: number;
 }
 
-/** The outcome of an advice call. */
+/** The result of a call to the advice service. */
 export interface AdviseAnswer {
-    /** `undefined` when the service gave no answer. */
+    /** `undefined` if the service did not respond. */
     readonly admissions: readonly Admission[] | undefined;
 }
 
-/** Orders to workers. No method throws: what went wrong is part of the answer. */
+/** Sends orders to workers. Methods don't throw; a failure is part of the answer. */
 export interface WorkerCalls {
     readonly start: (order: StartOrder, timeoutMs: number) => Promise<OrderAnswer>;
     readonly stop: (order: StopOrder, timeoutMs: number) => Promise<OrderAnswer>;
@@ -155,7 +154,7 @@
     readonly poll: (order: LookOrder) => Promise<LookAnswer>;
 }
 
-/** Calls to the advice service. */
+/** Calls the advice service. */
 export interface AdviceCalls {
     readonly advise: (call: AdviseCall) => Promise<readonly Admission[] | undefined>;
 }
--- a/control/clock_jump_detector.ts
+++ b/control/clock_jump_detector.ts
@@ -1,33 +1,31 @@
 /**
- * Notices that the machine was suspended. A suspended machine's steady clock stands still, so a
- * leader that wakes up would take its lease for valid although others went on without it and may
- * have elected another leader: it would answer with old state and send orders that the new
- * leader does not know of. The time of day goes on during a suspension; the two clocks drift
- * apart by its length. A step of the time of day looks the same and costs one round to a quorum.
+ * Detects that the machine was suspended: the monotonic clock stops during a suspension while the
+ * wall clock continues. A suspended leader would otherwise regard an expired lease as valid. An
+ * adjustment of the wall clock is also reported.
  *
  * @example
  * ```ts
- * import { ClockGuard } from "./clock_jump_detector.ts";
- * const guard = new ClockGuard(() => replica.distrustClock());
- * guard.check();
+ * import { ClockJumpDetector } from "./clock_jump_detector.ts";
+ * const detector = new ClockJumpDetector(() => replica.distrustClock());
+ * detector.check();
  * ```
  *
  * @module
  */
 
-/** Time sources of {@link ClockJumpDetector}. */
+/** Clock sources of {@link ClockJumpDetector}, in ms. */
 export interface ClockSources {
     readonly getMonotonicMs?: () => number;
     readonly getWallMs?: () => number;
 }
 
 /**
- * A difference below this is a clock being slewed or read twice, in ms. A suspension this short
- * is below the part of the election timeout that a lease leaves unused (0.2 of 250 ms).
+ * The minimum offset change that counts as a jump, in ms. It tolerates slewing and lies below the
+ * unused part of the shortest election timeout (20% of 250 ms).
  */
 const JUMP_THRESHOLD_MS = 40;
 
-/** Compares the steady clock with the time of day. */
+/** Compares the monotonic clock with the wall clock. */
 export class ClockJumpDetector {
     readonly #onJump: () => void;
     readonly #getMonotonicMs: () => number;
@@ -35,8 +33,8 @@
     #offsetMs: number;
 
     /**
-     * @param onJump Called when the clocks moved apart.
-     * @param clocks Time sources, for tests.
+     * @param onJump Called when the offset between the clocks has changed.
+     * @param clocks Clock sources; replaced in tests.
      */
     constructor(onJump: () => void, clocks: ClockSources = {}) {
         this.#onJump = onJump;
@@ -45,7 +43,7 @@
         this.#offsetMs = this.#getWallMs() - this.#getMonotonicMs();
     }
 
-    /** Compares the clocks; to be called before anything that rests on the steady clock alone. */
+    /** Checks the offset between the clocks. Call it before relying on the monotonic clock. */
     check(): void {
         const offsetMs = this.#getWallMs() - this.#getMonotonicMs();
         const jumpMs = offsetMs - this.#offsetMs;
--- a/control/clock_jump_detector_test.ts
+++ b/control/clock_jump_detector_test.ts
@@ -24,8 +24,7 @@
 });
 
 test("a suspension is noticed once, at the first look after it", (t) => {
-    // The caller would read an old configuration: the leader slept 4 s, its steady clock stood
-    // still, and by that clock its lease is fresh while another leader has been elected.
+    // The monotonic clock stops during a suspension, so the lease looks valid on a replaced leader.
     const { detector, clocks, jumps } = buildDetector();
     clocks.wallMs += 4_000;
     detector.check();
--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -1,11 +1,14 @@
 /**
- * A control instance: a member of the control group that keeps the durable state, leads when it
- * is elected, and passes calls on to the leader otherwise.
+ * Runs a control instance: a member of the control group that replicates the state, leads when
+ * elected, and otherwise forwards calls to the leader.
  *
  * @example
  * ```ts
  * import { ControlDaemon } from "./daemon.ts";
- * const daemon = new ControlDaemon({ address, zone, seeds, bootstrap, dataDir, workerCalls, log });
+ * const daemon = new ControlDaemon({
+ *     address, publicAddress, zone, listSeeds, bootstrap, dataDir, toleratedFailures,
+ *     workerCalls, log,
+ * });
  * await daemon.start();
  * ```
  *
@@ -65,21 +68,21 @@
 
 /** Options of {@link ControlDaemon}. */
 export interface ControlDaemonOptions {
-    /** Where this instance's RPC server listens, `host:port`; its name among the members. */
+    /** The address of this instance's RPC server, `host:port`; also its member id. */
     readonly address: string;
-    /** Where workers and operators reach it. */
+    /** The address for workers and operators. */
     readonly publicAddress: string;
     readonly zone: string;
-    /** RPC addresses of some control instances. */
+    /** Lists RPC addresses of some control instances. */
     readonly listSeeds: () => readonly string[];
-    /** The whole system starts for the first time, with empty disks. */
+    /** Whether the group starts for the first time, with empty disks. */
     readonly bootstrap: boolean;
     readonly dataDir: string;
-    /** How many instances may be lost at once; twice as many and one more vote. */
+    /** How many instances may fail at once; the group has `2 * toleratedFailures + 1` voters. */
     readonly toleratedFailures: number;
     readonly workerCalls: WorkerCalls;
     readonly timings?: ConsensusTimings;
-    /** When this process started, in ms on the monotonic clock, if known. */
+    /** When this process started on the monotonic clock, in ms, if known. */
     readonly processStartedAtMs?: number;
     readonly limits?: Partial<DispatchLimits>;
     readonly batchesPerSnapshot?: number;
@@ -88,28 +91,28 @@
 }
 
 const CONTROL_GROUP_ID = "control" as GroupId;
-/** Time between two greetings to the leader, in ms. */
+/** The interval of hello messages to the leader, in ms. */
 const HELLO_INTERVAL_MS = 500;
 /**
- * From this many workers on the other members take heartbeats and questions about states for the
- * leader: below, both are less than a tenth of its processor.
+ * From this many workers on, followers batch keep-alives and serve reads of job states to relieve
+ * the leader.
  */
 const LARGE_DEPLOYMENT_WORKERS = 100;
-/** A replica that has not heard the leader for this long answers for no state, in ms: three heartbeats. */
+/** A replica without leader contact for this long serves no reads, in ms; three heartbeats. */
 const MAX_REPLICA_STALENESS_MS = 150;
-/** Facts batches between two snapshots: some 20 s of a busy day, below 20 MB of log. */
+/** The number of batches of facts between two snapshots; bounds the log to about 20 MB. */
 const DEFAULT_BATCHES_PER_SNAPSHOT = 4_000;
-/** How long a worker's or an operator's call may take on its way to the leader, in ms. */
+/** The timeout of a worker's or an operator's call that is forwarded to the leader, in ms. */
 const FORWARD_TIMEOUT_MS = 900;
 /**
- * Fronts of each zone that a front learns of: one may be cut off or stopping when it is needed. Two of
- * four zones are some 400 bytes, asked for every 5 s.
+ * The number of peer fronts of each availability zone in a hello response; more than one for
+ * redundancy.
  */
 const PEER_FRONTS_PER_ZONE = 2;
-/** A message between members is given up after this, in ms: about one election timeout. */
+/** The timeout of a message between members, in ms; about one election timeout. */
 const PEER_TIMEOUT_MS = 400;
 
-/** One control instance. */
+/** A control instance. */
 export class ControlDaemon {
     readonly #options: ControlDaemonOptions;
     readonly #self: EntryId;
@@ -130,13 +133,13 @@
     #server: RpcServer | undefined;
     #helloSubscription: Subscription | undefined;
     #leaderPublicAddress: string | undefined;
-    /** Calls and orders that came while this leader's lease had lapsed. */
+    /** Counts calls and orders that arrived while the leader lease had expired. */
     readonly #leaseLapses = new CountedLog((fields) =>
         this.#options.log.warn("lease lapsed for calls", fields),
     );
 
     /**
-     * @param options Addresses, seeds, data folder; see {@link ControlDaemonOptions}.
+     * @param options Addresses, seeds and data folder; see {@link ControlDaemonOptions}.
      */
     constructor(options: ControlDaemonOptions) {
         this.#options = options;
@@ -157,23 +160,23 @@
         );
     }
 
-    /** Where workers and operators reach the leader, as far as known. */
+    /** The leader's address for workers and operators, if known. */
     get leaderPublicAddress(): string | undefined {
         return this.isServing ? this.#options.publicAddress : this.#leaderPublicAddress;
     }
 
-    /** The version of the newest configuration that this replica knows to be agreed on. */
+    /** The version of the latest configuration that this replica knows to be committed. */
     get configurationVersion(): number | undefined {
         return this.#committedState.configuration?.version;
     }
 
-    /** Whether this instance leads and nobody else can. */
+    /** Whether this instance is the leader and holds the leader lease. */
     get isServing(): boolean {
         this.#clockJumpDetector.check();
         return this.#leadership !== undefined && (this.#member?.isServing ?? false);
     }
 
-    /** Opens the data folder, joins the group and serves. */
+    /** Opens the data folder, joins the group and starts to serve calls. */
     async start(): Promise<void> {
         const { address, dataDir, bootstrap } = this.#options;
         const [host, port] = parseAddress(address);
@@ -231,7 +234,7 @@
         );
     }
 
-    /** Hands the lead over and stops. */
+    /** Transfers leadership and stops. */
     async stop(): Promise<void> {
         this.#helloSubscription?.unsubscribe();
         await this.#member?.stop();
@@ -241,11 +244,11 @@
     }
 
     /**
-     * Takes a worker's heartbeat, here or at the leader.
+     * Handles a worker's heartbeat here or forwards it to the leader.
      *
      * @param call The heartbeat.
-     * @returns Once it is recorded.
-     * @throws {NoLeaderError} When no leader took it in time.
+     * @returns Resolves after the heartbeat is recorded or queued for the next batch.
+     * @throws {NoLeaderError} If no leader accepted it in time.
      */
     async handleHeartbeat(call: HeartbeatCall): Promise<void> {
         if (this.#isKeepAlive(call)) {
@@ -264,9 +267,9 @@
     }
 
     /**
-     * Where a worker should send its later heartbeats.
+     * The address for a worker's further heartbeats.
      *
-     * @returns On a small floor the leader, else this instance, which gathers them for the leader.
+     * @returns This instance if it is a follower in a large deployment, otherwise the leader.
      */
     get heartbeatAddress(): string | undefined {
         return this.#isLargeDeployment() && !this.isServing
@@ -275,11 +278,11 @@
     }
 
     /**
-     * Takes a worker's word that it has left.
+     * Handles the departure of a worker here or forwards it to the leader.
      *
      * @param worker The worker.
-     * @returns Once it is recorded.
-     * @throws {NoLeaderError} When no leader took it in time.
+     * @returns Resolves after the departure is committed.
+     * @throws {NoLeaderError} If no leader accepted it in time.
      */
     async handleLeave(worker: WorkerId): Promise<void> {
         await this.#runOrForward(METHODS.leave, { worker }, (leadership) =>
@@ -288,14 +291,12 @@
     }
 
     /**
-     * Takes an operator's configuration. One that is not newer than what this replica knows to be agreed on
-     * is acknowledged here: an operator whose first try came through sends it again, and with a leader that
-     * answers later than the operator waits, no try would ever be acknowledged. What is agreed on stays
-     * agreed on, so no leader has to be asked.
+     * Applies an operator's configuration or forwards it to the leader. A version that is not newer
+     * than the committed one is acknowledged without a leader, so that retries succeed.
      *
      * @param configuration The configuration.
-     * @returns Whether it was taken.
-     * @throws {NoLeaderError} When no leader took it in time.
+     * @returns Whether it was accepted.
+     * @throws {NoLeaderError} If no leader accepted it in time.
      */
     async handleConfigure(configuration: Configuration): Promise<ConfigureAnswer> {
         const { log } = this.#options;
@@ -316,10 +317,10 @@
     }
 
     /**
-     * Reads the newest configuration.
+     * Reads the latest configuration.
      *
-     * @returns What the operator sent; `undefined` when there is none.
-     * @throws {NoLeaderError} When no leader could confirm it in time.
+     * @returns The operator's document; `undefined` if there is no configuration.
+     * @throws {NoLeaderError} If no leader confirmed it in time.
      */
     async readConfiguration(): Promise<unknown> {
         const answer = await this.#runOrForward<{ document?: unknown }>(
@@ -334,7 +335,7 @@
         return this.#committedState.workers.size >= LARGE_DEPLOYMENT_WORKERS;
     }
 
-    /** A heartbeat that says nothing new waits here for the next ones, on a large floor. */
+    /** Tells whether a heartbeat carries no changes and can be batched for the leader. */
     #isKeepAlive(call: HeartbeatCall): boolean {
         const known = this.#committedState.workers.get(call.record.id);
         return (
@@ -348,8 +349,8 @@
     }
 
     /**
-     * Answers for a job's state from this member's replica, while it hears the leader. What it does
-     * not know may be too new for it: the leader is asked then.
+     * Reads a job's state from this replica while it is in contact with the leader. The caller is
+     * directed to the leader for jobs that aren't replicated here yet.
      */
     async #readState(call: CallerCall): Promise<CallerAnswer> {
         const sinceLeaderContactMs = performance.now() - (this.#member?.heardLeaderAt ?? 0);
@@ -403,7 +404,11 @@
         return { document: await leadership.readConfiguration() };
     }
 
-    /** Gives the leadership of this instance, or tells the caller who leads. */
+    /**
+     * Returns this instance's leadership; otherwise throws an error that names the leader.
+     *
+     * @throws {MethodError} If this instance is not the leader.
+     */
     async #getLeadership(): Promise<Leadership> {
         const hasLease = await this.#waitForLease();
         if (hasLease && this.#leadership !== undefined) {
@@ -415,7 +420,7 @@
         });
     }
 
-    /** As {@link GroupMember.waitServing}, with a look at the clocks before. */
+    /** Waits for the leader lease; checks for a clock jump and counts expired leases. */
     async #waitForLease(): Promise<boolean> {
         if (this.isServing || this.#leadership === undefined) {
             return this.isServing;
@@ -426,7 +431,9 @@
         return this.isServing;
     }
 
-    /** Tells a caller whether to ask another instance, and whether its call may have happened. */
+    /**
+     * Converts a proposal error to an RPC error that tells whether the call may have taken effect.
+     */
     #refuseCall(error: Error): never {
         if (error instanceof OutcomeUnknownError) {
             throw new MethodError(error.message, OUTCOME_UNKNOWN_CODE);
@@ -539,7 +546,7 @@
         }
     }
 
-    /** The leader's view of who is there: fronts for advice calls, control instances to vote. */
+    /** Updates the leader's view of the live fronts and control instances, and plans the voters. */
     #updateInstances(): void {
         const nowMs = performance.now();
         this.#instances.removeExpired(nowMs);
--- a/control/daemon_test.ts
+++ b/control/daemon_test.ts
@@ -4,7 +4,7 @@
 import { explainRequest, mergeTimeline } from "../telemetry/mod.ts";
 import type { CallerCall } from "./calls.ts";
 
-/** Lines are gathered for 50 ms before they are written. */
+/** Log lines are buffered for 50 ms before they are written. */
 const LOG_FLUSH_MS = 200;
 const HOST = "studio.example";
 
@@ -34,7 +34,7 @@
     const cluster = await startCluster(t);
     const id = "00000000000000a1";
     t.deepEqual(await cluster.front.handleCaller(buildSubmit(id), 3_000), { type: "accepted" });
-    // The same job handed in again, as after a lost answer, stays one job.
+    // A duplicate submission is idempotent.
     t.deepEqual(await cluster.front.handleCaller(buildSubmit(id), 3_000), { type: "accepted" });
     await waitForJobState(cluster, id, "complete");
     t.is(cluster.startedTasks.length, 2);
@@ -45,8 +45,7 @@
 });
 
 test.serial("accepted jobs outlive the leader and run once", async (t) => {
-    // The caller sees its job complete a little later. The leader stops while tasks run; the next
-    // one learns from its log and from the workers what is out, and starts nothing again.
+    // Guards against tasks that are lost or started again after a failover.
     const cluster = await startCluster(t, 800);
     const ids = ["00000000000000b1", "00000000000000b2", "00000000000000b3"];
     for (const id of ids) {
@@ -61,8 +60,7 @@
 });
 
 test.serial("a request's time line is whole through the loss of its leader", async (t) => {
-    // On call there are only the logs. One leader accepts and starts the request, another one sees
-    // its end; merged, their lines tell the whole way and name the loss between.
+    // The merged logs of both leaders must show the whole request and the failover between them.
     const cluster = await startCluster(t, 800);
     const id = "00000000000000c1";
     await cluster.front.handleCaller(buildSubmit(id), 3_000);
@@ -83,8 +81,7 @@
 });
 
 test.serial("a member that lost its disk comes back, and then another may be lost", async (t) => {
-    // The operator reads the newest configuration all the while. A member returns with an empty
-    // disk as another incarnation and is taken in; only then can the next one be lost.
+    // A member with an empty disk rejoins as a new incarnation before another member is lost.
     const cluster = await startCluster(t);
     const leader = await cluster.waitForLeader();
     const [wiped, other] = [...cluster.daemons.keys()].filter((address) => address !== leader);
@@ -118,9 +115,7 @@
 });
 
 test.serial("a restart with other seeds in the settings exchanges no voter", async (t) => {
-    // The operator sees no second outage. All control instances lose power; meanwhile the settings name
-    // another three of the four as seeds. Whoever leads next keeps the voters: it would otherwise exchange
-    // one, remove itself where it is not among the seeds, and decide nothing until the next election.
+    // Guards against a new leader replacing voters because the seeds have changed.
     const cluster = await ClusterFixture.start({ memberCount: 4, workerCount: 1, seedCount: 3 });
     t.teardown(() => cluster.stop());
     await cluster.waitForLeader();
--- a/control/effect_queue.ts
+++ b/control/effect_queue.ts
@@ -1,16 +1,11 @@
 /**
- * In which order, and how fast, a leader carries out what it has decided. The pattern: after an outage
- * hundreds of workers answer at once and a backlog of thousands of tasks finds room. Every order that is sent
- * brings an answer to read; sent as soon as they are decided they fill the event loop for seconds, and the
- * calls of callers, heartbeats and greetings wait behind them until their senders give up and come again,
- * which makes it later still. So a few effects leave in each turn of the event loop, urgent ones
- * first, and nothing more is decided while many still wait: what is decided late is decided on what is
- * true then, and its tickets are fresh.
+ * Executes a leader's committed effects in small batches per turn of the event loop, urgent ones
+ * first, so that a backlog doesn't delay incoming calls. Placement pauses while the queue is full.
  *
  * @example
  * ```ts
  * import { EffectQueue } from "./effect_queue.ts";
- * const queue = new EffectQueue({ run: (effect) => send(effect), onDrained: () => place() });
+ * const queue = new EffectQueue({ run: (effect) => send(effect), onDrained: () => placeTasks() });
  * queue.add(effects);
  * ```
  *
@@ -21,28 +16,34 @@
 
 /** Options of {@link EffectQueue}. */
 export interface EffectQueueOptions {
-    /** Carries an effect out; returns once it is on its way. */
+    /** Starts an effect without waiting for its result. */
     readonly run: (effect: Effect) => void;
-    /** Whether an effect would change nothing any more; none by default. */
+    /** Whether an effect can be skipped because it would have no result; by default none is. */
     readonly isRedundant?: (effect: Effect) => boolean;
-    /** Told when few effects are left after many. */
+    /** Called when the queue has drained to the low watermark after it was full. */
     readonly onDrained: () => void;
-    /** Has something done in the next turn of the event loop, or after a pause in ms; replaced in tests. */
+    /**
+     * Schedules a task for the next turn of the event loop, or after a pause in ms; replaced in
+     * tests.
+     */
     readonly schedule?: (task: () => void, pauseMs: number) => void;
     readonly getNow?: () => number;
 }
 
-/** Orders and calls of one turn of the event loop: below 10 ms, also in a process that just started. */
+/** The maximum number of orders and advice calls per turn of the event loop. */
 const EFFECTS_PER_TURN = 16;
-/** Looks at once, and the pause after them, in ms: a new leader looks at hundreds of workers, and each answers. */
+/**
+ * The maximum number of polls per burst, and the time between bursts in ms. A new leader polls all
+ * workers.
+ */
 const POLLS_PER_BURST = 16;
 const POLL_BURST_INTERVAL_MS = 25;
-/** With so many orders waiting nothing more is decided: some ten ms of a busy leader's work. */
+/** The queue counts as full from this many waiting orders and advice calls on. */
 const HIGH_WATERMARK = 128;
-/** From so few on more is decided again. */
+/** A full queue counts as drained again at this size. */
 const LOW_WATERMARK = 32;
 
-/** Effects on their way. */
+/** A queue of effects with priorities and flow control. */
 export class EffectQueue {
     readonly #options: EffectQueueOptions;
     readonly #getNow: () => number;
@@ -55,22 +56,22 @@
     #isStopped = false;
 
     /**
-     * @param options How effects are carried out; see {@link EffectQueueOptions}.
+     * @param options How effects are executed; see {@link EffectQueueOptions}.
      */
     constructor(options: EffectQueueOptions) {
         this.#options = options;
         this.#getNow = options.getNow ?? (() => performance.now());
     }
 
-    /** Orders and calls that wait; looks at workers are not among them. */
+    /** The number of waiting orders and advice calls, without polls. */
     get size(): number {
         return this.#urgent.length + this.#normal.length;
     }
 
     /**
-     * Tells whether so many wait that nothing more should be decided.
+     * Tells whether the queue is full, so that placement should pause.
      *
-     * @returns True when {@link EffectQueueOptions.onDrained} will tell that there is room again.
+     * @returns True if full; {@link EffectQueueOptions.onDrained} is called after it has drained.
      */
     isFull(): boolean {
         const isFull = this.size >= HIGH_WATERMARK;
@@ -79,8 +80,8 @@
     }
 
     /**
-     * Adds effects whose facts are agreed on. Each start has its worker watched, which nearly always is watched
-     * already: kept, such effects would use up the turns of the looks that are needed.
+     * Adds effects whose facts are committed. Redundant ones are skipped so that they don't delay
+     * polls.
      *
      * @param effects The effects.
      */
@@ -91,14 +92,14 @@
         this.#scheduleTurn();
     }
 
-    /** Carries nothing out any more. */
+    /** Stops executing effects. */
     stop(): void {
         this.#isStopped = true;
     }
 
     /**
-     * What callers wait for most goes first: advice calls, which only a front's turn limits, and the most urgent
-     * queue's tasks.
+     * Selects the urgent queue for advice calls, acknowledgements and orders of the highest
+     * priority.
      */
     #selectQueue(effect: Effect): Effect[] {
         switch (effect.type) {
@@ -141,7 +142,9 @@
         this.#scheduleTurn();
     }
 
-    /** @returns How many were carried out. */
+    /**
+     * @returns The number of effects that were executed.
+     */
     #runBatch(queues: readonly Effect[][], maxCount: number): number {
         for (let count = 0; count < maxCount; count++) {
             const effect = queues.find(({ length }) => length > 0)?.shift();
--- a/control/effect_queue_test.ts
+++ b/control/effect_queue_test.ts
@@ -6,7 +6,7 @@
 interface Fixture {
     readonly queue: EffectQueue;
     readonly ran: Effect[];
-    /** Lets one turn of the event loop pass; returns how many effects it carried out. */
+    /** Runs one turn of the event loop and returns the number of executed effects. */
     readonly runTurn: () => number;
     readonly countDrained: () => number;
     readonly clock: { now: number };
@@ -52,8 +52,7 @@
 }
 
 test("a backlog of orders leaves in small turns, so that callers are read between them", (t) => {
-    // All power was lost; a thousand tasks find room at once. Sent in one turn their orders and answers hold the
-    // event loop for a second, callers' calls wait behind, time out and come again.
+    // Guards against a backlog of orders blocking the event loop, so that calls time out.
     const { queue, runTurn } = buildQueue();
     queue.add(buildEffects(1_000, () => buildStart(1)));
     const turns: number[] = [];
@@ -77,8 +76,7 @@
 });
 
 test("looks at hundreds of workers go on beside a backlog of orders, some at a time", (t) => {
-    // A new leader knows no worker until it has answered a look. Looks behind the orders would leave it with a
-    // few workers for as long as the backlog lasts; all at once their answers would fill the event loop.
+    // Guards against polls waiting behind orders, and against all answers arriving at once.
     const { queue, ran, runTurn, clock } = buildQueue();
     queue.add([...buildEffects(2_000, () => buildStart(1)), ...buildEffects(380, buildPoll)]);
     const countPolls = (): number => ran.filter(({ type }) => type === "look").length;
@@ -92,8 +90,7 @@
 });
 
 test("a thousand starts on watched workers don't hold up the look at a silent one", (t) => {
-    // Each start has its worker watched. A worker that left an order unanswered gets no work until it has
-    // answered a look; behind the watches of a busy floor that look would wait for seconds.
+    // Guards against redundant watch effects delaying the poll of an unresponsive worker.
     const { queue, ran, runTurn } = buildQueue((effect) => effect.type === "watch");
     for (let i = 0; i < 1_000; i++) {
         queue.add([buildStart(1), { type: "watch", worker: `w${i % 380}` as WorkerId }]);
--- a/control/instance_registry.ts
+++ b/control/instance_registry.ts
@@ -1,13 +1,12 @@
 /**
- * The instances that greet a leader: fronts that can call the advice service, control instances
- * that can vote and answer for states.
+ * Registers the live fronts and control instances from the hello messages that a leader receives.
  *
  * @example
  * ```ts
- * import { MemberTable } from "./instance_registry.ts";
- * const table = new MemberTable();
- * table.add(hello, now);
- * const fronts = table.listAddresses("front");
+ * import { InstanceRegistry } from "./instance_registry.ts";
+ * const registry = new InstanceRegistry();
+ * registry.add(hello, nowMs);
+ * const fronts = registry.listAddresses("front");
  * ```
  *
  * @module
@@ -17,29 +16,28 @@
 import type { HelloCall, PeerFront } from "./calls.ts";
 
 /**
- * A control instance not heard from for this long counts as gone, in ms: three greetings. It is
- * replaced only by one that is there and holds the log, so a hasty verdict costs two changes of the
- * voters.
+ * A control instance without a hello message for this long counts as lost, in ms; three hello
+ * intervals.
  */
 const CONTROL_TIMEOUT_MS = 1_500;
-/** A front not heard from for this long makes no advice calls, in ms. */
+/** A front without a hello message for this long gets no advice calls, in ms. */
 const FRONT_TIMEOUT_MS = 1_500;
 
 interface RegisteredInstance extends HelloCall {
     readonly lastHelloAtMs: number;
 }
 
-/** Who greeted lately. */
+/** The instances that have sent a hello message recently. */
 export class InstanceRegistry {
     readonly #instances = new Map<string, RegisteredInstance>();
     #nextFrontIndex = 0;
 
     /**
-     * Records a greeting.
+     * Records a hello message.
      *
-     * @param call The greeting.
-     * @param nowMs Our clock, in ms.
-     * @returns Whether the instance is new here.
+     * @param call The hello message.
+     * @param nowMs The monotonic time, in ms.
+     * @returns Whether the instance was not registered before.
      */
     add(call: HelloCall, nowMs: number): boolean {
         const isNew = !this.#instances.has(call.address);
@@ -48,9 +46,9 @@
     }
 
     /**
-     * Forgets instances that are silent.
+     * Removes instances whose last hello message is too old.
      *
-     * @param nowMs Our clock, in ms.
+     * @param nowMs The monotonic time, in ms.
      */
     removeExpired(nowMs: number): void {
         for (const [address, instance] of this.#instances) {
@@ -62,7 +60,7 @@
     }
 
     /**
-     * Lists the addresses of one kind.
+     * Lists the addresses of the instances of one kind.
      *
      * @param kind Fronts or control instances.
      * @returns Their RPC addresses.
@@ -74,11 +72,11 @@
     }
 
     /**
-     * Lists some fronts of each availability zone, for fronts that look for a way to the leader: each time
-     * others, or one front of a zone would carry the calls of all that are cut off.
+     * Lists some fronts of each availability zone that can relay calls to the leader. Successive
+     * calls rotate through the fronts to spread the load.
      *
-     * @param maxPerZone How many of each zone.
-     * @param requesterAddress The address of the front that asks.
+     * @param maxPerZone The maximum number of fronts of each availability zone.
+     * @param requesterAddress The address of the requesting front, which is left out.
      * @returns The fronts.
      */
     listPeerFronts(maxPerZone: number, requesterAddress: string): PeerFront[] {
@@ -100,9 +98,9 @@
     }
 
     /**
-     * Gives the control instances with their availability zones.
+     * Returns the availability zone of each control instance.
      *
-     * @returns Zone by instance.
+     * @returns The availability zones by instance.
      */
     getControlZones(): Map<EntryId, string> {
         const zones = new Map<EntryId, string>();
--- a/control/instance_registry_test.ts
+++ b/control/instance_registry_test.ts
@@ -7,8 +7,7 @@
 }
 
 test("fronts that ask for others get different ones, some of each zone", (t) => {
-    // A zone is cut off from the leader but not from the other zones. Named the same two fronts, all of its
-    // twenty would have them carry their callers' calls, over links of 2 Mbit/s.
+    // Guards against all fronts of an isolated zone relaying through the same few peers.
     const registry = new InstanceRegistry();
     for (let i = 0; i < 20; i++) {
         registry.add(buildHello(`a-${i}`, "a"), 0);
--- a/control/keep_alive_batcher.ts
+++ b/control/keep_alive_batcher.ts
@@ -1,13 +1,14 @@
 /**
- * Gathers workers' heartbeats that say nothing new and hands them to the leader together. A floor
- * of hundreds of workers sends more heartbeats than the leader has orders to give; each as a call
- * of its own would take a tenth of its processor.
+ * Batches workers' heartbeats that carry no changes and forwards them to the leader, which reduces
+ * the number of calls that the leader handles.
  *
  * @example
  * ```ts
- * import { SignBox } from "./keep_alive_batcher.ts";
- * const box = new SignBox({ send: (signs) => router.call("control.signs", { signs }, 900) });
- * if (box.isTrusted) box.add({ worker, sequence, clockMs });
+ * import { KeepAliveBatcher } from "./keep_alive_batcher.ts";
+ * const batcher = new KeepAliveBatcher({
+ *     send: (signs) => router.call("control.signs", { signs }, 900),
+ * });
+ * if (batcher.isLeaderReachable) batcher.add({ worker, sequence, clockMs, capacity });
  * ```
  *
  * @module
@@ -18,17 +19,17 @@
 
 /** Options of {@link KeepAliveBatcher}. */
 export interface KeepAliveBatcherOptions {
-    /** Hands heartbeats to the leader; rejects when none took them. */
+    /** Sends a batch to the leader; rejects if no leader accepted it. */
     readonly send: (keepAlives: readonly KeepAlive[]) => Promise<unknown>;
     readonly getNow?: () => number;
 }
 
-/** Heartbeats are gathered for this long, in ms: a fifth of the time between two of a worker. */
+/** How long keep-alives are collected before they are sent, in ms. */
 const BATCH_WINDOW_MS = 300;
-/** The box takes heartbeats only while the leader took the last ones within this time, in ms. */
+/** The leader counts as unreachable after this time without contact, in ms. */
 const LEADER_CONTACT_TIMEOUT_MS = 1_500;
 
-/** Heartbeats on their way. */
+/** Collects keep-alives and sends them to the leader in batches. */
 export class KeepAliveBatcher {
     readonly #options: KeepAliveBatcherOptions;
     readonly #getNow: () => number;
@@ -37,7 +38,7 @@
     #isSendScheduled = false;
 
     /**
-     * @param options How to reach the leader.
+     * @param options The send function and the clock.
      */
     constructor(options: KeepAliveBatcherOptions) {
         this.#options = options;
@@ -45,22 +46,22 @@
     }
 
     /**
-     * Whether the leader gets what is put in. A member that is cut off from the leader must not
-     * acknowledge heartbeats: their workers would stay with it and look dead to the leader.
+     * Whether the leader was reached recently. Otherwise the instance must not acknowledge
+     * heartbeats: the leader would consider the workers lost.
      */
     get isLeaderReachable(): boolean {
         return this.#getNow() - this.#lastContactAtMs < LEADER_CONTACT_TIMEOUT_MS;
     }
 
-    /** Notes that the leader answered this member just now. */
+    /** Records that the leader has just responded to this instance. */
     recordLeaderContact(): void {
         this.#lastContactAtMs = this.#getNow();
     }
 
     /**
-     * Puts a heartbeat in; a newer one of the same worker replaces the older.
+     * Adds a keep-alive to the next batch, replacing an older one of the same worker.
      *
-     * @param keepAlive The heartbeat.
+     * @param keepAlive The keep-alive.
      */
     add(keepAlive: KeepAlive): void {
         this.#pending.set(keepAlive.worker, keepAlive);
@@ -78,7 +79,7 @@
             await this.#options.send(keepAlives);
             this.recordLeaderContact();
         } catch {
-            // The workers' next heartbeats are refused here and go elsewhere; nothing is lost by it.
+            // The workers' next heartbeats are forwarded one by one, so no retry is needed.
             this.#lastContactAtMs = Number.NEGATIVE_INFINITY;
         }
     }
--- a/control/keep_alive_batcher_test.ts
+++ b/control/keep_alive_batcher_test.ts
@@ -29,8 +29,7 @@
 });
 
 test("a member that does not reach the leader takes no heartbeats", async (t) => {
-    // A worker's heartbeats go to a member that was cut off. Acknowledged there, they would keep
-    // the worker with that member while the leader takes it for dead.
+    // Guards against acknowledging heartbeats that the leader doesn't receive.
     const batcher = new KeepAliveBatcher({ send: () => Promise.reject(new Error("cut off")) });
     t.false(batcher.isLeaderReachable);
     batcher.recordLeaderContact();
--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -1,11 +1,13 @@
 /**
- * What a control instance does while it leads: it takes calls, decides, has the facts agreed on,
- * and then carries out the effects.
+ * Runs the work of a control instance while it is the leader: it handles calls, makes scheduling
+ * decisions, commits the resulting facts and then executes the effects.
  *
  * @example
  * ```ts
  * import { Leadership } from "./leadership.ts";
- * const leadership = new Leadership({ durable, propose, waitServing, term, workerCalls, advise, log });
+ * const leadership = new Leadership({
+ *     committedState, stateReader, propose, waitForLease, term, clock, workerCalls, advise, log,
+ * });
  * leadership.start();
  * const answer = await leadership.handleCaller(call);
  * ```
@@ -53,48 +55,55 @@
 
 /** Options of {@link Leadership}. */
 export interface LeadershipOptions {
-    /** The state that a quorum holds. */
+    /** The state that a quorum has committed. */
     readonly committedState: StateStore;
-    /** Answers for the states of jobs in it. */
+    /** Reads job states from the committed state. */
     readonly stateReader: StateReader;
-    /** Has a batch agreed on; rejects when this process leads no more. */
+    /**
+     * Proposes a batch and resolves once it is committed; rejects if this process is no longer the
+     * leader.
+     */
     readonly propose: (batch: FactBatch) => Promise<void>;
-    /** Waits until no other process can lead; false when this one leads no more. */
+    /** Waits for the leader lease; false if this process is no longer the leader. */
     readonly waitForLease: () => Promise<boolean>;
-    /** The term of this leadership: above every earlier one. */
+    /** The term of this leadership, greater than every earlier one. */
     readonly term: number;
     readonly clock: DispatchClock;
     readonly workerCalls: WorkerCalls;
-    /** Has a front call the advice service. */
+    /** Calls the advice service through a front. */
     readonly advise: (lane: LaneId, call: AdviseCall) => Promise<AdviseAnswer>;
     readonly limits?: Partial<DispatchLimits>;
     readonly metrics?: ControlMetrics;
     readonly log: Logger;
 }
 
-/** The outcome of an operator's change. */
+/** The response to an operator's configuration. */
 export type ConfigureAnswer =
     { readonly type: "acknowledged" } | { readonly type: "invalid"; readonly findings: string[] };
 
-/** Fences of one term: far more than orders get in the longest lead. */
+/** Fencing tokens reserved for each term; more than a term can use. */
 const FENCING_TOKENS_PER_TERM = 1_000_000;
-/** Time between two looks at the clock, in ms: lapsed leases, repeated stops, due occurrences. */
+/**
+ * The interval of the periodic checks for expired leases, repeated stops and due occurrences, in
+ * ms.
+ */
 const TICK_INTERVAL_MS = 100;
-/** An advice call may take this many times its own length, and a little more, in ms. */
+/**
+ * The timeout of an advice call is its expected duration times the factor plus the margin, in ms.
+ */
 const ADVICE_TIMEOUT_FACTOR = 2.5;
 const ADVICE_TIMEOUT_MARGIN_MS = 400;
+/** The minimum time between two placement runs, in ms; batches events under load. */
+const PLACEMENT_INTERVAL_MS = 5;
 /**
- * Under load placings are this far apart, in ms: one look over the backlog for many events, at the
- * cost of less than a commit.
+ * The rate limit of the decision log in lines per second: a base rate plus an allowance per worker.
  */
-const PLACEMENT_INTERVAL_MS = 5;
-/** Lines a second that a leader's log takes, and as many more for each worker: a task there starts and ends. */
 const LOG_LINES_PER_SECOND = 400;
 const LOG_LINES_PER_SECOND_PER_WORKER = 1;
-/** When to come back with a job that no worker on record can run: larger workers come rarely, in ms. */
+/** The `retryAfterMs` for a job that exceeds the capacity of every registered worker, in ms. */
 const INFEASIBLE_RETRY_AFTER_MS = 60_000;
 
-/** One term of leading. */
+/** The leadership of one term. */
 export class Leadership {
     readonly #options: LeadershipOptions;
     readonly #dispatcher: Dispatcher;
@@ -113,7 +122,7 @@
     readonly #roundTripEstimator = new RoundTripEstimator();
 
     /**
-     * @param options State, agreement, calls; see {@link LeadershipOptions}.
+     * @param options State, consensus and calls; see {@link LeadershipOptions}.
      */
     constructor(options: LeadershipOptions) {
         this.#options = options;
@@ -138,7 +147,7 @@
         });
     }
 
-    /** Starts deciding. */
+    /** Starts scheduling. */
     start(): void {
         this.#tickSubscription = interval(TICK_INTERVAL_MS).subscribe(() => {
             this.#dispatcher.tick(!this.#effectQueue.isFull());
@@ -147,7 +156,7 @@
         this.#flushInBackground();
     }
 
-    /** Decides nothing from now on. */
+    /** Stops scheduling. */
     stop(): void {
         this.#isStopped = true;
         this.#tickSubscription?.unsubscribe();
@@ -167,10 +176,10 @@
     }
 
     /**
-     * Serves a caller.
+     * Handles a caller's request.
      *
-     * @param call The call.
-     * @returns The answer, once what it promises is durable.
+     * @param call The request.
+     * @returns The answer, after the change behind it is committed.
      */
     async handleCaller(call: CallerCall): Promise<CallerAnswer> {
         const { configuration } = this.#options.committedState;
@@ -207,16 +216,17 @@
     }
 
     /**
-     * Takes a worker's heartbeat.
+     * Handles a worker's heartbeat.
      *
      * @param call The heartbeat.
-     * @returns Once what it changed is durable.
+     * @returns Resolves after its changes are committed.
      */
     async handleHeartbeat(call: HeartbeatCall): Promise<void> {
         const { record } = call;
         const { committedState } = this.#options;
         this.#dispatcher.handleHeartbeat(call);
-        // An acknowledged farewell binds the next leader too: it must be on record before.
+        // A drain must be committed before it is acknowledged, so that the next leader
+        // knows it.
         await this.#ensureCommitted(() => {
             const known = committedState.workers.get(record.id);
             const isRecorded = known !== undefined && (known.isDraining || !record.isDraining);
@@ -225,9 +235,9 @@
     }
 
     /**
-     * Takes heartbeats that a member gathered.
+     * Handles a batch of keep-alives.
      *
-     * @param keepAlives The heartbeats.
+     * @param keepAlives The keep-alives.
      */
     handleKeepAlives(keepAlives: readonly KeepAlive[]): void {
         for (const { worker, sequence, clockMs, capacity } of keepAlives) {
@@ -237,10 +247,10 @@
     }
 
     /**
-     * Takes a worker's word that it has left.
+     * Handles the departure of a worker.
      *
      * @param worker The worker.
-     * @returns Once it is durable.
+     * @returns Resolves after the departure is committed.
      */
     async handleLeave(worker: WorkerId): Promise<void> {
         this.#dispatcher.handleLeave(worker);
@@ -249,10 +259,10 @@
     }
 
     /**
-     * Takes an operator's configuration.
+     * Applies an operator's configuration.
      *
-     * @param configuration The configuration, found valid by the instance that the operator called.
-     * @returns Once it is in force or overtaken.
+     * @param configuration The configuration, already validated.
+     * @returns Resolves after this version or a newer one is committed.
      */
     async handleConfigure(configuration: Configuration): Promise<ConfigureAnswer> {
         const { log, metrics } = this.#options;
@@ -270,10 +280,10 @@
     }
 
     /**
-     * Reads the newest configuration. It asks a quorum first: a leader that was replaced without
-     * noticing would otherwise show an older one.
+     * Reads the latest configuration. A quorum confirms the leadership first, because a replaced
+     * leader could return an older one.
      *
-     * @returns What the operator sent, or `undefined` when there is none yet.
+     * @returns The operator's document, or `undefined` if there is no configuration yet.
      */
     async readConfiguration(): Promise<unknown> {
         await this.#propose([]);
@@ -290,7 +300,10 @@
         return { type: "cancelled" };
     }
 
-    /** Agrees on what was just decided; if an earlier call decided it, on that call's batch. */
+    /**
+     * Commits pending decisions. If an earlier call has already taken the decision, waits for that
+     * call's batch.
+     */
     async #ensureCommitted(isCommitted: () => boolean): Promise<void> {
         await this.#flush();
         this.#schedulePlacement();
@@ -318,8 +331,8 @@
     }
 
     /**
-     * Has what was decided agreed on and carried out, with nobody waiting for it. When the lead
-     * ends meanwhile, the next leader decides anew from what was agreed on.
+     * Commits and executes pending decisions without a waiting caller. If leadership is lost
+     * meanwhile, the next leader decides again from the committed state.
      */
     #flushInBackground(): void {
         this.#flush().catch((error: Error) => {
@@ -327,7 +340,7 @@
         });
     }
 
-    /** Has what was decided agreed on, then carries it out. */
+    /** Commits pending facts, then queues their effects. */
     async #flush(): Promise<void> {
         const { facts, effects } = this.#dispatcher.takeOutcome();
         if (facts.length > 0) {
@@ -426,7 +439,7 @@
         }
     }
 
-    /** Sends an order only while nobody else can lead; otherwise it counts as unanswered. */
+    /** Sends an order if this process holds the leader lease; otherwise it counts as unanswered. */
     async #sendOrder(
         previousTries: number,
         send: (timeoutMs: number) => Promise<OrderAnswer>,
@@ -468,5 +481,8 @@
     }
 }
 
-/** The way back from the service through the front, at most, in ms; the wait before is not age. */
+/**
+ * The upper bound of the age of advice, in ms. It covers the way back through the front; time in
+ * queues doesn't count.
+ */
 const MAX_ADVICE_AGE_MS = 50;
--- a/control/mod.ts
+++ b/control/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Control instances: the replicated state, the leader's work, calls between the processes.
+ * Control instances: replicated state, leadership and the calls between processes.
  *
  * @example
  * ```ts
--- a/control/round_trip_estimator.ts
+++ b/control/round_trip_estimator.ts
@@ -1,40 +1,37 @@
 /**
- * How long an order may stay unanswered before it is sent again, from how long answers took lately. The pattern: a
- * few of a hundred orders get no answer and are carried out seconds later, or never. Each costs its task the
- * timeout, and a job is done only with its last task; with a fixed 400 ms a job of six tasks that loses one answer
- * is late. Answers come within some ms on a calm leader, and some hundred on one at its limit, where a
- * short fixed timeout would send everything twice.
+ * Estimates the retransmission timeout of orders from recent round-trip times, so that a lost order
+ * is retried quickly while a loaded leader doesn't send duplicates.
  *
  * @example
  * ```ts
- * import { RoundTrips } from "./round_trip_estimator.ts";
- * const trips = new RoundTrips();
- * trips.record(4);
- * trips.computeTimeoutMs(1); // 120
+ * import { RoundTripEstimator } from "./round_trip_estimator.ts";
+ * const estimator = new RoundTripEstimator();
+ * estimator.record(4);
+ * estimator.computeTimeoutMs(1); // 120
  * ```
  *
  * @module
  */
 
-/** Weight of a new answer in the mean and in the deviation, as for TCP's retransmission timeout (RFC 6298). */
+/** Weights of a new sample in the mean and in the deviation, as in RFC 6298. */
 const MEAN_WEIGHT = 1 / 8;
 const DEVIATION_WEIGHT = 1 / 4;
-/** The timeout is the mean and so many deviations. */
+/** The timeout is the mean plus this many mean deviations. */
 const DEVIATION_FACTOR = 4;
-/** Never shorter than this, in ms: a pause of either side's event loop is no loss. */
+/** The lower bound of the timeout, in ms; tolerates short pauses of the event loop. */
 const MIN_TIMEOUT_MS = 120;
-/** Never longer than this, in ms: an urgent task's objective leaves little more for all its tries. */
+/** The upper bound of the timeout, in ms. */
 const MAX_TIMEOUT_MS = 400;
 
-/** A running estimate of how long answers take. */
+/** Estimates round-trip times with a moving average. */
 export class RoundTripEstimator {
     #meanMs: number | undefined;
     #deviationMs = 0;
 
     /**
-     * Records how long an answer took.
+     * Records a round-trip time.
      *
-     * @param roundTripMs The time, in ms.
+     * @param roundTripMs The time between an order and its answer, in ms.
      */
     record(roundTripMs: number): void {
         if (this.#meanMs === undefined) {
@@ -50,8 +47,8 @@
     /**
      * Computes how long to wait for an answer.
      *
-     * @param previousTries How often the order was sent before; each try waits twice as long as the one before.
-     * @returns Ms; the longest timeout while no answer was seen yet.
+     * @param previousTries How often the order was sent before; each retry doubles the timeout.
+     * @returns The timeout in ms; the upper bound while there is no sample.
      */
     computeTimeoutMs(previousTries: number): number {
         if (this.#meanMs === undefined) {
--- a/control/state_reader.ts
+++ b/control/state_reader.ts
@@ -1,8 +1,6 @@
 /**
- * Answers questions about a job's state from a replica. The pattern: a caller asks the moment its last
- * task has ended, some tens of milliseconds before that end is on record here, is told `running`, and
- * comes again only after a pause. An answer that is about to change is therefore held until it does,
- * for a moment.
+ * Reads job states from a replica. A read of a running job waits briefly for its end to be
+ * replicated, so that a caller that asks right after the last task isn't told `running`.
  *
  * @example
  * ```ts
@@ -18,12 +16,11 @@
 import type { CallerAnswer } from "./calls.ts";
 
 /**
- * How long a question waits for a running job's end, in ms: longer than an end takes to be on record (a pause
- * between two looks at a worker, the way, a commit), below the silence after which a front takes the leader for
- * lost.
+ * How long a read waits for the end of a running job, in ms. This covers the usual poll and commit
+ * latency and is below the failover timeout of a front.
  */
 const DEFAULT_MAX_WAIT_MS = 200;
-/** Questions that wait at the same time at most: some hundred bytes each. */
+/** The maximum number of concurrently waiting reads. */
 const MAX_WAITING_READS = 2_000;
 
 interface PendingRead {
@@ -33,11 +30,11 @@
 
 /** Options of {@link StateReader}. */
 export interface StateReaderOptions {
-    /** How long a question waits, in ms. */
+    /** The maximum wait of a read, in ms. */
     readonly maxWaitMs?: number;
 }
 
-/** Reads of one replica. */
+/** Reads job states from one replica. */
 export class StateReader {
     readonly #ledger: StateStore;
     readonly #maxWaitMs: number;
@@ -45,7 +42,7 @@
 
     /**
      * @param ledger The replica.
-     * @param options How long a question waits.
+     * @param options The maximum wait.
      */
     constructor(ledger: StateStore, options: StateReaderOptions = {}) {
         this.#ledger = ledger;
@@ -56,7 +53,7 @@
      * Reads a job's state.
      *
      * @param id The job.
-     * @returns The answer, or `undefined` when the replica does not know the job.
+     * @returns The answer, or `undefined` if the replica doesn't know the job.
      */
     async readState(id: JobId): Promise<CallerAnswer | undefined> {
         const job = this.#ledger.jobs.get(id);
@@ -67,7 +64,10 @@
         return known === undefined ? undefined : { type: "state", state: known.state };
     }
 
-    /** Answers the questions about jobs that have ended; called after each change of the replica. */
+    /**
+     * Completes the waiting reads of jobs that have ended. Call it after each change of the
+     * replica.
+     */
     resolveEndedJobs(): void {
         for (const pendingRead of this.#pendingReads) {
             if (this.#ledger.jobs.get(pendingRead.job)?.endedAt !== undefined) {
@@ -90,7 +90,7 @@
     }
 }
 
-/** A job of set times, or whose tasks last, is not asked about because it is about to end. */
+/** Tells whether a job is running and has neither repeats nor perpetual tasks. */
 function isAboutToEnd(job: Job): boolean {
     const isOneShot = job.spec?.repeats === 0 && job.spec.steps.every((step) => !step.isPerpetual);
     return job.state === "running" && isOneShot;
--- a/control/state_reader_test.ts
+++ b/control/state_reader_test.ts
@@ -32,8 +32,7 @@
 }
 
 test("a caller that asks just before its job's end is on record is told of the end", async (t) => {
-    // The caller sees its last task end and asks at once; the end is on its way to the replica. Told
-    // `running` it would come again after a pause of its own, a quarter of a second later.
+    // Guards against a stale `running` that makes the caller ask again after a pause.
     const { ledger, reader } = buildRunningJob(buildSpec({}));
     const startedAt = performance.now();
     const answer = reader.readState(JOB);
--- a/control/timings_test.ts
+++ b/control/timings_test.ts
@@ -6,13 +6,12 @@
     const large = selectTimings(2);
     t.true(small.electionMs < large.electionMs);
     t.deepEqual(selectTimings(3), large);
-    // A leader's heartbeats leave room for some that are late.
+    // Several heartbeats may be late without causing an election.
     t.true([small, large].every(({ heartbeatMs, electionMs }) => electionMs >= 4 * heartbeatMs));
 });
 
 test("an instance is not given up before another one can lead", (t) => {
-    // Callers of a leader that is busy taking over are answered late; given up at once, each of their calls
-    // reaches it again and again, and none is answered within its deadline.
+    // Guards against callers that retry in a loop while a new leader is busy.
     [1, 2, 3].forEach((tolerated) =>
         t.true(selectFailoverTimeoutMs(tolerated) > selectTimings(tolerated).electionMs),
     );
--- a/control/voter_planner.ts
+++ b/control/voter_planner.ts
@@ -1,16 +1,15 @@
 /**
- * Which control instances should vote, as one of them sees it. The pattern: all come back from an outage, one a little
- * later than the others, and the settings name other seeds by then. A new leader that planned by either in
- * its first second would exchange voters that are all there, and remove itself where it is no seed: the
- * outage would begin again.
+ * Plans which control instances should be voters. A new leader keeps the current voters until it
+ * has received hello messages from all live instances, so that a restart doesn't cause needless
+ * membership changes.
  *
  * @example
  * ```ts
- * import { VoterRoster } from "./voter_planner.ts";
- * const roster = new VoterRoster({ self, zone, target: 3, listSeeds });
- * roster.startLeading(now);
- * roster.plan(now, current, live);
- * roster.listWanted(current);
+ * import { VoterPlanner } from "./voter_planner.ts";
+ * const planner = new VoterPlanner({ self, zone, targetVoters: 3, listSeeds });
+ * planner.startLeading(nowMs);
+ * planner.planVoters(nowMs, currentVoters, liveInstances);
+ * planner.listDesiredVoters(currentVoters);
  * ```
  *
  * @module
@@ -22,49 +21,51 @@
 export interface VoterPlannerOptions {
     readonly self: EntryId;
     readonly zone: string;
-    /** How many should vote. */
+    /** The desired number of voters. */
     readonly targetVoters: number;
-    /** Instances from the settings: the voters of the first start, later no more than contacts. */
+    /** Instances from the settings: the initial voters, later only contacts. */
     readonly listSeeds: () => readonly string[];
 }
 
-/** A new leader hears everybody's greeting within this time, in ms. */
+/**
+ * How long a new leader waits before it changes the voters, in ms; covers several hello intervals.
+ */
 const STABILIZATION_MS = 3_000;
 
-/** The voters that one instance wants. */
+/** Plans the set of voters on one instance. */
 export class VoterPlanner {
     readonly #options: VoterPlannerOptions;
-    /** Set once this instance leads and has heard from everybody. */
+    /** Set after this instance has led for the stabilization period. */
     #plannedVoters: readonly EntryId[] | undefined;
     #leadingSinceMs = 0;
 
     /**
-     * @param options Identity, target, seeds.
+     * @param options Identity, desired number of voters and seeds.
      */
     constructor(options: VoterPlannerOptions) {
         this.#options = options;
     }
 
     /**
-     * Notes that this instance leads from now on.
+     * Records that this instance has become the leader.
      *
-     * @param nowMs Our clock, in ms.
+     * @param nowMs The monotonic time, in ms.
      */
     startLeading(nowMs: number): void {
         this.#leadingSinceMs = nowMs;
     }
 
-    /** Notes that another instance may lead: what was planned here is over. */
+    /** Discards the plan when this instance is no longer the leader. */
     stopLeading(): void {
         this.#plannedVoters = undefined;
     }
 
     /**
-     * Plans the voters, unless the lead is too new to know who is there.
+     * Plans the voters, unless the leader is still in its stabilization period.
      *
-     * @param nowMs Our clock, in ms.
-     * @param currentVoters Instances that vote now.
-     * @param liveInstances Instances heard from lately, but for this one, with their availability zones.
+     * @param nowMs The monotonic time, in ms.
+     * @param currentVoters Instances that are voters now.
+     * @param liveInstances Availability zones of the other live instances.
      */
     planVoters(
         nowMs: number,
@@ -83,9 +84,9 @@
     }
 
     /**
-     * Lists the instances that should vote: what a leader planned, else those that do.
+     * Lists the desired voters: the planned ones, or the current ones while there is no plan.
      *
-     * @param currentVoters Instances that vote now; none before the first start.
+     * @param currentVoters Instances that are voters now; empty before the first start.
      * @returns The instances.
      */
     listDesiredVoters(currentVoters: readonly EntryId[]): readonly EntryId[] {
--- a/control/voter_planner_test.ts
+++ b/control/voter_planner_test.ts
@@ -15,8 +15,7 @@
 });
 
 test("a new leader exchanges nobody before it has heard from everybody", (t) => {
-    // One voter comes back a second later than the others. Taken for dead at once it would be replaced by the
-    // instance that does not vote, and the lead's first seconds would go into two changes of the voters.
+    // Guards against replacing a voter that restarts slightly later than the others.
     const planner = buildPlanner([A, B, C]);
     const live = new Map([
         [B, "z2"],
--- a/control/worker_poller.ts
+++ b/control/worker_poller.ts
@@ -1,12 +1,12 @@
 /**
- * Looks at workers that have work: one look after another, each renewing the leases and waiting
- * at the worker for the next end.
+ * Long-polls workers that run tasks. Each poll renews the leases and returns the tasks that have
+ * ended.
  *
  * @example
  * ```ts
- * import { WorkerWatch } from "./worker_poller.ts";
- * const watch = new WorkerWatch({ dispatcher, calls, flush });
- * watch.start(worker);
+ * import { WorkerPoller } from "./worker_poller.ts";
+ * const poller = new WorkerPoller({ dispatcher, workerCalls, flush, waitForLease });
+ * poller.start(worker);
  * ```
  *
  * @module
@@ -20,21 +20,21 @@
 export interface WorkerPollerOptions {
     readonly dispatcher: Dispatcher;
     readonly workerCalls: WorkerCalls;
-    /** Agrees on what a look told, before the worker may forget it. */
+    /** Commits the results of a poll before they are acknowledged to the worker. */
     readonly flush: () => Promise<void>;
-    /** Whether this process still leads; a look of one that does not must not renew a lease. */
+    /**
+     * Waits for the leader lease; false if this process is no longer the leader and must not renew
+     * task leases.
+     */
     readonly waitForLease: () => Promise<boolean>;
 }
 
-/**
- * Pause between two looks at a worker, in ms. Ends that fall into it come with one look instead
- * of several. An end is noticed later by half of it in the mean, which the shortest objective bears.
- */
+/** The time between two polls of a worker, in ms. Ends within it are returned by one poll. */
 const POLL_INTERVAL_MS = 100;
-/** Pause after a look without an answer, in ms. */
+/** The backoff after an unanswered poll, in ms. */
 const FAILED_POLL_BACKOFF_MS = 150;
 
-/** The looks of one leader. */
+/** Polls workers on behalf of one leader. */
 export class WorkerPoller {
     readonly #options: WorkerPollerOptions;
     readonly #polledWorkers = new Set<WorkerId>();
@@ -42,14 +42,14 @@
     #isStopped = false;
 
     /**
-     * @param options The decisions, the calls; see {@link WorkerPollerOptions}.
+     * @param options The dispatcher and the calls; see {@link WorkerPollerOptions}.
      */
     constructor(options: WorkerPollerOptions) {
         this.#options = options;
     }
 
     /**
-     * Watches a worker until nothing runs there and its ends are acknowledged.
+     * Polls a worker until it runs no tasks and all ends are acknowledged.
      *
      * @param id The worker.
      */
@@ -61,17 +61,17 @@
     }
 
     /**
-     * Tells whether a worker is watched.
+     * Tells whether a worker is being polled.
      *
      * @param id The worker.
-     * @returns True until nothing runs there any more.
+     * @returns True until the poll loop of the worker has ended.
      */
     isPolling(id: WorkerId): boolean {
         return this.#polledWorkers.has(id);
     }
 
     /**
-     * Looks at a worker at once, beside the look under way.
+     * Polls a worker immediately, even while a long poll is in flight.
      *
      * @param id The worker.
      */
@@ -88,7 +88,7 @@
         this.start(id);
     }
 
-    /** Sends nothing from now on. */
+    /** Stops polling; answers to polls in flight are ignored. */
     stop(): void {
         this.#isStopped = true;
     }
@@ -120,7 +120,8 @@
         const answer = await workerCalls.poll(order);
         if (!this.#isStopped) {
             dispatcher.handleLook(order, sentAtMs, answer);
-            // Without a lead any more the loop ends; the ends stay listed for the next leader.
+            // Without leadership the poll loop ends; unacknowledged ends remain for the next
+            // leader.
             await flush().catch(() => this.stop());
         }
         return answer;
