--- a/control/_fixtures.ts
+++ b/control/_fixtures.ts
@@ -280,7 +280,7 @@
     const deadline = performance.now() + 15_000;
     while (!(await isMet())) {
         if (performance.now() > deadline) {
-            throw new Error("the condition did not come to hold within 15 s");
+            throw new Error("condition not met within 15 s");
         }
         await new Promise((resolve) => setTimeout(resolve, CONDITION_POLL_INTERVAL_MS));
     }
--- a/control/busy_leader_test.ts
+++ b/control/busy_leader_test.ts
@@ -38,7 +38,7 @@
     }
 }
 
-test.serial("a configuration in force is acknowledged without a leader too", async (t) => {
+test.serial("a committed configuration is acknowledged without a leader", async (t) => {
     // Guards against retries that fail because the answer to the first try came too late.
     const cluster = await startCluster();
     t.teardown(() => cluster.stop());
@@ -58,20 +58,23 @@
     await t.throwsAsync(async () => daemon?.handleConfigure(buildConfiguration(3)));
 });
 
-test.serial("a call that a leader reads after a long turn is served, not sent on", async (t) => {
-    // Guards against a redirect to another leader when no other instance can be elected yet.
-    const cluster = await startCluster();
-    t.teardown(() => cluster.stop());
-    const leader = await cluster.waitForLeader();
-    const client = new RpcClientPool({ timeoutMs: 5_000 }).getClient(leader);
-    await client.call(METHODS.configure, buildConfiguration(2));
-    const answer = client.call(METHODS.configure, buildConfiguration(3));
-    await new Promise((resolve) => setImmediate(resolve));
-    runBlockingLoop(BLOCKED_MS);
-    t.deepEqual(await answer, { type: "acknowledged" });
-});
+test.serial(
+    "a leader serves a call received while its event loop was blocked past the lease",
+    async (t) => {
+        // Guards against a redirect to another leader when no other instance can be elected yet.
+        const cluster = await startCluster();
+        t.teardown(() => cluster.stop());
+        const leader = await cluster.waitForLeader();
+        const client = new RpcClientPool({ timeoutMs: 5_000 }).getClient(leader);
+        await client.call(METHODS.configure, buildConfiguration(2));
+        const answer = client.call(METHODS.configure, buildConfiguration(3));
+        await new Promise((resolve) => setImmediate(resolve));
+        runBlockingLoop(BLOCKED_MS);
+        t.deepEqual(await answer, { type: "acknowledged" });
+    },
+);
 
-test("orders decided in a long turn are sent, and blame no worker", async (t) => {
+test("orders are sent after lease renewal and no worker is reported as failed", async (t) => {
     // Guards against unsent orders counting as unanswered by healthy workers.
     let isLapsed = true;
     const orders: string[] = [];
@@ -95,7 +98,7 @@
     t.deepEqual(workerFailures, []);
 });
 
-test("an order is not sent by a leader that leads no more", async (t) => {
+test("a deposed leader sends no orders", async (t) => {
     const orders: string[] = [];
     const { leadership } = buildLeadership({
         waitForLease: () => Promise.resolve(false),
--- a/control/clock_jump_detector_test.ts
+++ b/control/clock_jump_detector_test.ts
@@ -15,7 +15,7 @@
     return { detector, clocks, jumps };
 }
 
-test("clocks that go on together are trusted", (t) => {
+test("clocks that advance together are not reported as a jump", (t) => {
     const { detector, clocks, jumps } = buildDetector();
     clocks.monotonicMs += 10_000;
     clocks.wallMs += 10_020;
@@ -23,7 +23,7 @@
     t.is(jumps.length, 0);
 });
 
-test("a suspension is noticed once, at the first look after it", (t) => {
+test("a suspension is reported once, by the first check after it", (t) => {
     // The monotonic clock stops during a suspension, so the lease looks valid on a replaced leader.
     const { detector, clocks, jumps } = buildDetector();
     clocks.wallMs += 4_000;
@@ -32,7 +32,7 @@
     t.is(jumps.length, 1);
 });
 
-test("a step of the time of day costs a confirmation, either way", (t) => {
+test("a step of the wall clock in either direction is reported", (t) => {
     const { detector, clocks, jumps } = buildDetector();
     clocks.wallMs -= 2_000;
     detector.check();
--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -135,7 +135,7 @@
     #leaderPublicAddress: string | undefined;
     /** Counts calls and orders that arrived while the leader lease had expired. */
     readonly #leaseLapses = new CountedLog((fields) =>
-        this.#options.log.warn("lease lapsed for calls", fields),
+        this.#options.log.warn("calls arrived after leader lease expired", fields),
     );
 
     /**
@@ -536,7 +536,7 @@
         const answer = await this.#router
             .call<HelloAnswer>(METHODS.hello, call, HELLO_INTERVAL_MS)
             .catch((error: Error) => {
-                this.#options.log.debug("no leader greeted", { error: error.message });
+                this.#options.log.debug("failed to send hello to leader", { error: error.message });
                 return undefined;
             });
         if (answer !== undefined) {
--- a/control/daemon_test.ts
+++ b/control/daemon_test.ts
@@ -30,7 +30,7 @@
     });
 }
 
-test.serial("a job goes from a front to a worker and back to its caller", async (t) => {
+test.serial("a job submitted through a front completes and its state can be read", async (t) => {
     const cluster = await startCluster(t);
     const id = "00000000000000a1";
     t.deepEqual(await cluster.front.handleCaller(buildSubmit(id), 3_000), { type: "accepted" });
@@ -44,7 +44,7 @@
     t.deepEqual(await cluster.front.handleCaller(elsewhere, 2_000), { type: "unknownQueue" });
 });
 
-test.serial("accepted jobs outlive the leader and run once", async (t) => {
+test.serial("accepted jobs survive a leader failover and run exactly once", async (t) => {
     // Guards against tasks that are lost or started again after a failover.
     const cluster = await startCluster(t, 800);
     const ids = ["00000000000000b1", "00000000000000b2", "00000000000000b3"];
@@ -59,7 +59,7 @@
     t.is(cluster.startedTasks.length, 6);
 });
 
-test.serial("a request's time line is whole through the loss of its leader", async (t) => {
+test.serial("a request's timeline is complete across a leader failover", async (t) => {
     // The merged logs of both leaders must show the whole request and the failover between them.
     const cluster = await startCluster(t, 800);
     const id = "00000000000000c1";
@@ -80,41 +80,47 @@
     t.regex(causes.join("\n"), /the leader .* was lost meanwhile/);
 });
 
-test.serial("a member that lost its disk comes back, and then another may be lost", async (t) => {
-    // A member with an empty disk rejoins as a new incarnation before another member is lost.
-    const cluster = await startCluster(t);
-    const leader = await cluster.waitForLeader();
-    const [wiped, other] = [...cluster.daemons.keys()].filter((address) => address !== leader);
-    await cluster.stopMember(wiped as string, true);
-    await cluster.startMember(wiped as string);
-    await cluster.daemons.get(leader)?.handleConfigure(buildConfiguration(2));
-    await new Promise((resolve) => setTimeout(resolve, 3_000));
-    await cluster.stopMember(other as string);
-    const next = await cluster.waitForLeader();
-    await waitUntil(async () => {
-        const document = await cluster.daemons
-            .get(next)
-            ?.readConfiguration()
-            .catch(() => undefined);
-        return (document as { version?: number } | undefined)?.version === 2;
-    });
-    t.pass();
-});
+test.serial(
+    "a member that lost its disk rejoins, after which another member may fail",
+    async (t) => {
+        // A member with an empty disk rejoins as a new incarnation before another member is lost.
+        const cluster = await startCluster(t);
+        const leader = await cluster.waitForLeader();
+        const [wiped, other] = [...cluster.daemons.keys()].filter((address) => address !== leader);
+        await cluster.stopMember(wiped as string, true);
+        await cluster.startMember(wiped as string);
+        await cluster.daemons.get(leader)?.handleConfigure(buildConfiguration(2));
+        await new Promise((resolve) => setTimeout(resolve, 3_000));
+        await cluster.stopMember(other as string);
+        const next = await cluster.waitForLeader();
+        await waitUntil(async () => {
+            const document = await cluster.daemons
+                .get(next)
+                ?.readConfiguration()
+                .catch(() => undefined);
+            return (document as { version?: number } | undefined)?.version === 2;
+        });
+        t.pass();
+    },
+);
 
-test.serial("an older or equal configuration is acknowledged and changes nothing", async (t) => {
-    const cluster = await startCluster(t);
-    const daemon = cluster.daemons.get(await cluster.waitForLeader());
-    await daemon?.handleConfigure(buildConfiguration(5));
-    const changed = { ...buildConfiguration(5), document: { version: "other" } };
-    t.deepEqual(await daemon?.handleConfigure(changed), { type: "acknowledged" });
-    t.deepEqual(await daemon?.handleConfigure(buildConfiguration(4)), { type: "acknowledged" });
-    t.deepEqual(await daemon?.readConfiguration(), { version: 5 });
-    const invalid = { ...buildConfiguration(9), pools: [] };
-    t.is((await daemon?.handleConfigure(invalid))?.type, "invalid");
-    t.deepEqual(await daemon?.readConfiguration(), { version: 5 });
-});
+test.serial(
+    "a configuration with an older or equal version is acknowledged and ignored",
+    async (t) => {
+        const cluster = await startCluster(t);
+        const daemon = cluster.daemons.get(await cluster.waitForLeader());
+        await daemon?.handleConfigure(buildConfiguration(5));
+        const changed = { ...buildConfiguration(5), document: { version: "other" } };
+        t.deepEqual(await daemon?.handleConfigure(changed), { type: "acknowledged" });
+        t.deepEqual(await daemon?.handleConfigure(buildConfiguration(4)), { type: "acknowledged" });
+        t.deepEqual(await daemon?.readConfiguration(), { version: 5 });
+        const invalid = { ...buildConfiguration(9), pools: [] };
+        t.is((await daemon?.handleConfigure(invalid))?.type, "invalid");
+        t.deepEqual(await daemon?.readConfiguration(), { version: 5 });
+    },
+);
 
-test.serial("a restart with other seeds in the settings exchanges no voter", async (t) => {
+test.serial("a restart with changed seeds keeps the voters", async (t) => {
     // Guards against a new leader replacing voters because the seeds have changed.
     const cluster = await ClusterFixture.start({ memberCount: 4, workerCount: 1, seedCount: 3 });
     t.teardown(() => cluster.stop());
--- a/control/effect_queue_test.ts
+++ b/control/effect_queue_test.ts
@@ -51,7 +51,7 @@
     return Array.from({ length: count }, (_none, i) => build(i));
 }
 
-test("a backlog of orders leaves in small turns, so that callers are read between them", (t) => {
+test("a backlog of orders is sent in small batches per event loop turn", (t) => {
     // Guards against a backlog of orders blocking the event loop, so that calls time out.
     const { queue, runTurn } = buildQueue();
     queue.add(buildEffects(1_000, () => buildStart(1)));
@@ -66,7 +66,7 @@
     );
 });
 
-test("the most urgent queue's tasks and calls for advice go before a backlog of others", (t) => {
+test("orders of the highest priority are sent before a backlog of other orders", (t) => {
     const { queue, ran, runTurn } = buildQueue();
     queue.add([...buildEffects(100, () => buildStart(2)), ...buildEffects(100, buildPoll)]);
     const urgent = buildStart(0);
@@ -75,7 +75,7 @@
     t.is(ran[0], urgent);
 });
 
-test("looks at hundreds of workers go on beside a backlog of orders, some at a time", (t) => {
+test("polls are sent in bursts alongside a backlog of orders", (t) => {
     // Guards against polls waiting behind orders, and against all answers arriving at once.
     const { queue, ran, runTurn, clock } = buildQueue();
     queue.add([...buildEffects(2_000, () => buildStart(1)), ...buildEffects(380, buildPoll)]);
@@ -89,7 +89,7 @@
     t.is(countPolls(), 32);
 });
 
-test("a thousand starts on watched workers don't hold up the look at a silent one", (t) => {
+test("redundant watch effects don't delay a poll", (t) => {
     // Guards against redundant watch effects delaying the poll of an unresponsive worker.
     const { queue, ran, runTurn } = buildQueue((effect) => effect.type === "watch");
     for (let i = 0; i < 1_000; i++) {
@@ -101,7 +101,7 @@
     t.true(ran.includes(poll));
 });
 
-test("while many orders wait nothing more is decided, and then it is told once", (t) => {
+test("a full queue reports once that it has drained", (t) => {
     const { queue, runTurn, countDrained } = buildQueue();
     queue.add(buildEffects(20, () => buildStart(1)));
     t.false(queue.isFull());
@@ -114,7 +114,7 @@
     t.false(queue.isFull());
 });
 
-test("nothing is carried out after the lead has ended", (t) => {
+test("a stopped queue executes no effects", (t) => {
     const { queue, ran, runTurn } = buildQueue();
     queue.add(buildEffects(40, () => buildStart(1)));
     runTurn();
--- a/control/instance_registry_test.ts
+++ b/control/instance_registry_test.ts
@@ -6,7 +6,7 @@
     return { address, zone, kind: "front", publicAddress: "" };
 }
 
-test("fronts that ask for others get different ones, some of each zone", (t) => {
+test("peer fronts cover every zone and rotate between requests", (t) => {
     // Guards against all fronts of an isolated zone relaying through the same few peers.
     const registry = new InstanceRegistry();
     for (let i = 0; i < 20; i++) {
@@ -21,5 +21,8 @@
         t.false(peers.some(({ address }) => address === `a-${i}`));
         peers.filter(({ zone }) => zone === "b").forEach(({ address }) => returned.add(address));
     }
-    t.true(returned.size >= 10, `${returned.size} of 20 fronts of the other zone were named`);
+    t.true(
+        returned.size >= 10,
+        `only ${returned.size} of 20 fronts of the other zone were returned`,
+    );
 });
--- a/control/keep_alive_batcher_test.ts
+++ b/control/keep_alive_batcher_test.ts
@@ -12,7 +12,7 @@
     };
 }
 
-test("heartbeats go to the leader together, the newest of each worker", async (t) => {
+test("keep-alives are sent as one batch with the latest of each worker", async (t) => {
     const sent: KeepAlive[][] = [];
     const batcher = new KeepAliveBatcher({
         send: (signs) => {
@@ -28,7 +28,7 @@
     t.true(batcher.isLeaderReachable);
 });
 
-test("a member that does not reach the leader takes no heartbeats", async (t) => {
+test("the leader counts as unreachable until contact and after a failed send", async (t) => {
     // Guards against acknowledging heartbeats that the leader doesn't receive.
     const batcher = new KeepAliveBatcher({ send: () => Promise.reject(new Error("cut off")) });
     t.false(batcher.isLeaderReachable);
--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -336,7 +336,7 @@
      */
     #flushInBackground(): void {
         this.#flush().catch((error: Error) => {
-            this.#options.log.warn("decisions dropped", { error: error.message });
+            this.#options.log.warn("failed to commit decisions", { error: error.message });
         });
     }
 
--- a/control/round_trip_estimator_test.ts
+++ b/control/round_trip_estimator_test.ts
@@ -2,11 +2,11 @@
 import fc from "fast-check";
 import { RoundTripEstimator } from "./round_trip_estimator.ts";
 
-test("before the first answer an order has the longest time", (t) => {
+test("the timeout without samples is the upper bound", (t) => {
     t.is(new RoundTripEstimator().computeTimeoutMs(0), 400);
 });
 
-test("an order that got no answer among fast ones is sent again soon, then later", (t) => {
+test("the timeout is short after fast answers and doubles with each retry", (t) => {
     const estimator = new RoundTripEstimator();
     Array.from({ length: 50 }, () => estimator.record(4));
     t.is(estimator.computeTimeoutMs(0), 120);
@@ -14,13 +14,13 @@
     t.is(estimator.computeTimeoutMs(2), 400);
 });
 
-test("on a leader at its limit orders are not sent twice for being slow", (t) => {
+test("the timeout is long when round-trip times vary widely", (t) => {
     const estimator = new RoundTripEstimator();
     Array.from({ length: 50 }, (_, i) => estimator.record(i % 2 === 0 ? 60 : 180));
     t.true(estimator.computeTimeoutMs(0) > 300);
 });
 
-test("the timeout stays within its bounds whatever is seen", (t) => {
+test("the timeout stays within its bounds for any samples", (t) => {
     fc.assert(
         fc.property(fc.array(fc.double({ min: 0, max: 60_000, noNaN: true })), (roundTripsMs) => {
             const estimator = new RoundTripEstimator();
--- a/control/state_reader_test.ts
+++ b/control/state_reader_test.ts
@@ -31,7 +31,7 @@
     });
 }
 
-test("a caller that asks just before its job's end is on record is told of the end", async (t) => {
+test("a read shortly before the end of a job returns the final state", async (t) => {
     // Guards against a stale `running` that makes the caller ask again after a pause.
     const { ledger, reader } = buildRunningJob(buildSpec({}));
     const startedAt = performance.now();
@@ -44,12 +44,12 @@
     t.true(performance.now() - startedAt < MAX_WAIT_MS);
 });
 
-test("a job that goes on is said to run after a moment", async (t) => {
+test("a read of a job that keeps running returns after the maximum wait", async (t) => {
     const { reader } = buildRunningJob(buildSpec({}));
     t.deepEqual(await reader.readState(JOB), { type: "state", state: "running" });
 });
 
-test("jobs that end some other time, ended jobs and unknown ones are answered at once", async (t) => {
+test("reads of perpetual, ended and unknown jobs return without waiting", async (t) => {
     const startedAt = performance.now();
     const perpetual = buildRunningJob(buildSpec({ isPerpetual: true }));
     t.deepEqual(await perpetual.reader.readState(JOB), { type: "state", state: "running" });
--- a/control/timings_test.ts
+++ b/control/timings_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { selectFailoverTimeoutMs, selectTimings } from "./timings.ts";
 
-test("large deployments wait longer for their leader, and every member alike", (t) => {
+test("large deployments share one longer election timeout", (t) => {
     const small = selectTimings(1);
     const large = selectTimings(2);
     t.true(small.electionMs < large.electionMs);
@@ -10,7 +10,7 @@
     t.true([small, large].every(({ heartbeatMs, electionMs }) => electionMs >= 4 * heartbeatMs));
 });
 
-test("an instance is not given up before another one can lead", (t) => {
+test("the failover timeout exceeds the election timeout", (t) => {
     // Guards against callers that retry in a loop while a new leader is busy.
     [1, 2, 3].forEach((tolerated) =>
         t.true(selectFailoverTimeoutMs(tolerated) > selectTimings(tolerated).electionMs),
--- a/control/voter_planner_test.ts
+++ b/control/voter_planner_test.ts
@@ -8,13 +8,13 @@
     return new VoterPlanner({ self: A, zone: "z1", targetVoters: 3, listSeeds: () => seeds });
 }
 
-test("the seeds vote at the first start, and are no plan afterwards", (t) => {
+test("the seeds are the voters only until a group exists", (t) => {
     const planner = buildPlanner([C, B, A]);
     t.deepEqual(planner.listDesiredVoters([]), [A, B, C]);
     t.deepEqual(planner.listDesiredVoters([B, C, D]), [B, C, D]);
 });
 
-test("a new leader exchanges nobody before it has heard from everybody", (t) => {
+test("a new leader replaces no voter during its stabilization period", (t) => {
     // Guards against replacing a voter that restarts slightly later than the others.
     const planner = buildPlanner([A, B, C]);
     const live = new Map([
