--- a/control/effect_queue_test.ts
+++ b/control/effect_queue_test.ts
@@ -90,7 +90,6 @@
 });
 
 test("redundant watch effects don't delay a poll", (t) => {
-    // Guards against redundant watch effects delaying the poll of an unresponsive worker.
     const { queue, ran, runTurn } = buildQueue((effect) => effect.type === "watch");
     for (let i = 0; i < 1_000; i++) {
         queue.add([buildStart(1), { type: "watch", worker: `w${i % 380}` as WorkerId }]);
