--- a/control/_fixtures.ts
+++ b/control/_fixtures.ts
@@ -20,7 +20,7 @@
 import { createLogger, LogSink } from "../telemetry/mod.ts";
 import type { Configuration } from "../configuration/mod.ts";
 import { buildQueue, buildWorkerReport, POOL } from "../dispatch/_fixtures.ts";
-import type { LookAnswer, LookOrder, OrderAnswer } from "../dispatch/mod.ts";
+import type { PollAnswer, PollOrder, OrderAnswer } from "../dispatch/mod.ts";
 import { FrontDaemon } from "../front/mod.ts";
 import { StateStore, type WorkerId } from "../job/mod.ts";
 import type { ConsensusTimings } from "../log/mod.ts";
@@ -189,7 +189,7 @@
             stop: (order): Promise<OrderAnswer> => Promise.resolve(find(order.worker).stop(order)),
             pace: (): Promise<OrderAnswer> =>
                 Promise.resolve({ type: "accepted", clockMs: undefined }),
-            poll: (order): Promise<LookAnswer> => waitForEnd(find(order.worker), order),
+            poll: (order): Promise<PollAnswer> => waitForEnd(find(order.worker), order),
         };
     }
 }
@@ -230,7 +230,7 @@
         propose: (batch) => Promise.resolve(committedState.apply(batch)),
         waitForLease: options.waitForLease,
         term: 1,
-        clock: { getNow: () => performance.now(), getWall: () => Date.now() },
+        clock: { getNow: () => performance.now(), getWallTime: () => Date.now() },
         workerCalls: createImmediateWorkerCalls(options.onStart),
         advise: () => Promise.resolve({ admissions: undefined }),
         log: createLogger({ process: "c1", zone: "z", sink }),
@@ -286,7 +286,7 @@
     }
 }
 
-async function waitForEnd(worker: TaskWorker, order: LookOrder): Promise<LookAnswer> {
+async function waitForEnd(worker: TaskWorker, order: PollOrder): Promise<PollAnswer> {
     const deadline = performance.now() + order.waitMs;
     for (;;) {
         const answer = worker.look(order);
--- a/control/calls.ts
+++ b/control/calls.ts
@@ -13,8 +13,8 @@
 import type {
     Admission,
     Heartbeat,
-    LookAnswer,
-    LookOrder,
+    PollAnswer,
+    PollOrder,
     OrderAnswer,
     PaceOrder,
     StartOrder,
@@ -151,7 +151,7 @@
     readonly start: (order: StartOrder, timeoutMs: number) => Promise<OrderAnswer>;
     readonly stop: (order: StopOrder, timeoutMs: number) => Promise<OrderAnswer>;
     readonly pace: (order: PaceOrder, timeoutMs: number) => Promise<OrderAnswer>;
-    readonly poll: (order: LookOrder) => Promise<LookAnswer>;
+    readonly poll: (order: PollOrder) => Promise<PollAnswer>;
 }
 
 /** Calls the advice service. */
--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -466,7 +466,7 @@
             term: replica.term,
             clock: {
                 getNow: () => performance.now(),
-                getWall: () => this.#clock.getNow(),
+                getWallTime: () => this.#clock.getNow(),
             },
             workerCalls: this.#options.workerCalls,
             advise: (lane, call) => this.#sendAdvise(lane, call),
--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -241,7 +241,7 @@
      */
     handleKeepAlives(keepAlives: readonly KeepAlive[]): void {
         for (const { worker, sequence, clockMs, capacity } of keepAlives) {
-            this.#dispatcher.handleSign(worker, sequence, clockMs, capacity);
+            this.#dispatcher.handleUnchangedHeartbeat(worker, sequence, clockMs, capacity);
         }
         this.#flushInBackground();
     }
@@ -354,7 +354,7 @@
 
     async #propose(facts: readonly Fact[]): Promise<void> {
         const startedAtMs = performance.now();
-        await this.#options.propose({ at: this.#options.clock.getWall(), facts });
+        await this.#options.propose({ at: this.#options.clock.getWallTime(), facts });
         this.#options.metrics?.commitSeconds.observe((performance.now() - startedAtMs) / 1_000);
     }
 
@@ -410,7 +410,7 @@
     async #runStart(member: MemberRun): Promise<void> {
         const order = this.#dispatcher.prepareStart(member);
         if (order !== undefined) {
-            const answer = await this.#sendOrder(member.tries - 1, (timeoutMs) =>
+            const answer = await this.#sendOrder(member.startSends - 1, (timeoutMs) =>
                 this.#options.workerCalls.start(order, timeoutMs),
             );
             this.#dispatcher.handleStartAnswer(member, answer);
--- a/control/worker_poller.ts
+++ b/control/worker_poller.ts
@@ -12,7 +12,7 @@
  * @module
  */
 
-import type { Dispatcher, LookAnswer, LookOrder } from "../dispatch/mod.ts";
+import type { Dispatcher, PollAnswer, PollOrder } from "../dispatch/mod.ts";
 import type { WorkerId } from "../job/mod.ts";
 import type { WorkerCalls } from "./calls.ts";
 
@@ -106,11 +106,11 @@
         this.#polledWorkers.delete(id);
     }
 
-    #preparePoll(id: WorkerId, isLongPoll: boolean): LookOrder | undefined {
-        return this.#isStopped ? undefined : this.#options.dispatcher.prepareLook(id, isLongPoll);
+    #preparePoll(id: WorkerId, isLongPoll: boolean): PollOrder | undefined {
+        return this.#isStopped ? undefined : this.#options.dispatcher.preparePoll(id, isLongPoll);
     }
 
-    async #sendPoll(order: LookOrder): Promise<LookAnswer> {
+    async #sendPoll(order: PollOrder): Promise<PollAnswer> {
         const { dispatcher, workerCalls, flush, waitForLease } = this.#options;
         const hasLease = await waitForLease();
         if (!hasLease) {
@@ -119,7 +119,7 @@
         const sentAtMs = performance.now();
         const answer = await workerCalls.poll(order);
         if (!this.#isStopped) {
-            dispatcher.handleLook(order, sentAtMs, answer);
+            dispatcher.handlePollAnswer(order, sentAtMs, answer);
             // Without leadership the poll loop ends; unacknowledged ends remain for the next
             // leader.
             await flush().catch(() => this.stop());
--- a/dispatch/_attempts.ts
+++ b/dispatch/_attempts.ts
@@ -21,16 +21,16 @@
     type UnitRef,
     type WorkerId,
 } from "../job/mod.ts";
-import { computeApartMs, isCrashLoop } from "./crash_loop.ts";
+import { computeIsolationMs, isCrashLoop } from "./crash_loop.ts";
 import type { DispatchContext } from "./_context.ts";
-import { createUnitKey } from "./step_board.ts";
+import { createUnitKey } from "./ready_steps.ts";
 import type { MemberRun } from "./types.ts";
-import { NO_ROOM, type WorkerState } from "./worker_book.ts";
+import { NO_RESOURCES, type WorkerState } from "./worker_registry.ts";
 
 /** Times that a start is sent before the worker counts as silent. */
-export const MAX_START_TRIES = 3;
+export const MAX_START_SENDS = 3;
 /** Ends that somebody may have to explain. */
-const FAILED_ENDS: ReadonlySet<MemberOutcome> = new Set([
+const FAILURE_ENDS: ReadonlySet<MemberOutcome> = new Set([
     "failed",
     "lapsed",
     "broken",
@@ -68,7 +68,7 @@
                         for (const [index, worker] of unit.members) {
                             const member = this.createMember(job, ref, index, worker, undefined);
                             member.state = job.endedAt === undefined ? "ordered" : "stopping";
-                            member.tries = MAX_START_TRIES;
+                            member.startSends = MAX_START_SENDS;
                             member.startedAt = now;
                             this.addMember(member);
                         }
@@ -76,11 +76,11 @@
                 );
             }
         }
-        this.#endOrphans();
+        this.#endOrphanedMembers();
     }
 
     /** Ends members on workers that were forgotten before their ends were recorded. */
-    #endOrphans(): void {
+    #endOrphanedMembers(): void {
         for (const members of [...this.#units.values()]) {
             for (const member of [...members.values()]) {
                 if (this.#context.book.findWorker(member.worker) === undefined) {
@@ -115,17 +115,17 @@
             name: formatTaskName({ ...unit, index }),
             attempt: this.#context.ledger.findUnit(unit)?.attempt ?? 0,
             worker,
-            room: computeRoom(spec),
+            reserved: computeReserved(spec),
             priority: this.#context.findQueue(job.queue)?.priority ?? 0,
             state: "planned",
-            tries: 0,
+            startSends: 0,
             fence: 0,
-            settledAt: undefined,
+            startResolvedAt: undefined,
             startedAt: now,
-            lastedMs: 0,
-            apartMs: computeApartMs(this.#context.ledger.findUnit(unit)?.crashes ?? []),
-            percent: 0,
-            reportedAt: now,
+            observedRunMs: 0,
+            isolationMs: computeIsolationMs(this.#context.ledger.findUnit(unit)?.crashes ?? []),
+            progressPercent: 0,
+            progressAt: now,
             estimateMs: spec?.estimateMs ?? 0,
             isMovable: spec !== undefined && isMovable(spec),
             isPerpetual: spec?.isPerpetual ?? false,
@@ -167,11 +167,11 @@
      * Ends a member; after the last one its unit waits again, is done, or has failed its job.
      *
      * @param member The member.
-     * @param how How it ended.
+     * @param endKind How it ended.
      * @param checkpoint Its newest checkpoint; empty when there is none.
      */
-    endMember(member: MemberRun, how: MemberOutcome, checkpoint: string): void {
-        if (this.findActive(member) === undefined && how !== "lost") {
+    endMember(member: MemberRun, endKind: MemberOutcome, checkpoint: string): void {
+        if (this.findActive(member) === undefined && endKind !== "lost") {
             return;
         }
         const { unit: ref } = member;
@@ -183,21 +183,25 @@
             unit: ref,
             attempt: member.attempt,
             index: member.index,
-            how,
+            how: endKind,
             checkpoint,
         });
-        this.#context.recordDecision(FAILED_ENDS.has(how) ? "failure" : "decision", "task ended", {
-            request: ref.job,
-            task: member.name,
-            attempt: member.attempt,
-            worker: member.worker,
-            how,
-            tookMs: Math.round(this.#context.clock.getNow() - member.startedAt),
-            lastedMs: how === "lost" ? Math.round(member.lastedMs) : undefined,
-        });
+        this.#context.recordDecision(
+            FAILURE_ENDS.has(endKind) ? "failure" : "decision",
+            "task ended",
+            {
+                request: ref.job,
+                task: member.name,
+                attempt: member.attempt,
+                worker: member.worker,
+                how: endKind,
+                tookMs: Math.round(this.#context.clock.getNow() - member.startedAt),
+                lastedMs: endKind === "lost" ? Math.round(member.observedRunMs) : undefined,
+            },
+        );
         this.#context.recordRoom(this.#context.book.findWorker(member.worker));
         if (members !== undefined && members.size > 0) {
-            if (how !== "done") {
+            if (endKind !== "done") {
                 // The others of a gang can not go on without this one.
                 members.forEach((other) => this.stopMember(other));
             }
@@ -222,7 +226,7 @@
         const unit = this.#context.ledger.findUnit(ref);
         if (unit?.isDone === true) {
             this.#context.board
-                .updateAfterDone(ref)
+                .handleUnitDone(ref)
                 .forEach((key) => this.#context.desk.removeCalls(key));
             return;
         }
@@ -292,9 +296,9 @@
             return;
         }
         if (member.state === "planned") {
-            member.tries = 0;
+            member.startSends = 0;
             member.state = "stopping";
-            member.settledAt = Number.NEGATIVE_INFINITY;
+            member.startResolvedAt = Number.NEGATIVE_INFINITY;
             this.#context.emit({ type: "look", worker: member.worker });
             return;
         }
@@ -318,9 +322,9 @@
  * @param spec The step; `undefined` when it is forgotten.
  * @returns The room. Tasks that fill take only what the others leave; their memory is theirs.
  */
-export function computeRoom(spec: Pick<StepSpec, "needs" | "isFiller"> | undefined): Resources {
+export function computeReserved(spec: Pick<StepSpec, "needs" | "isFiller"> | undefined): Resources {
     if (spec === undefined) {
-        return NO_ROOM;
+        return NO_RESOURCES;
     }
     return spec.isFiller ? { ...spec.needs, cpu: 0 } : spec.needs;
 }
--- a/dispatch/_candidates.ts
+++ b/dispatch/_candidates.ts
@@ -14,12 +14,12 @@
 import type { Resources, WorkerId } from "../job/mod.ts";
 import type { DispatchContext } from "./_context.ts";
 import type { Candidate } from "./placement.ts";
-import { createStepKey, type StepWork } from "./step_board.ts";
-import { getFreeRoom, type WorkerState } from "./worker_book.ts";
+import { createStepKey, type ReadyStep } from "./ready_steps.ts";
+import { getFreeResources, type WorkerState } from "./worker_registry.ts";
 
 /** What is looked for. */
 export interface CandidateQuery {
-    readonly step: StepWork;
+    readonly step: ReadyStep;
     readonly queue: QueueConfig;
     /** The workers to look at. */
     readonly workers: Iterable<WorkerState>;
@@ -60,7 +60,7 @@
             continue;
         }
         const list = findList(result, query, record.id);
-        list?.push(createCandidate(step, worker, context.book.isDoubtful(worker, now), now));
+        list?.push(createCandidate(step, worker, context.book.hasRecentFailure(worker, now), now));
     }
     return result;
 }
@@ -74,15 +74,15 @@
     if (queue.advice === undefined) {
         return result.admitted;
     }
-    const admission = step.advice.good.get(id);
+    const admission = step.advice.admitted.get(id);
     if (admission !== undefined) {
         return admission.validUntil > now ? result.admitted : result.expired;
     }
-    return step.advice.asked.has(id) ? undefined : result.unasked;
+    return step.advice.askedWorkers.has(id) ? undefined : result.unasked;
 }
 
 function createCandidate(
-    step: StepWork,
+    step: ReadyStep,
     worker: WorkerState,
     isDoubtful: boolean,
     now: number,
@@ -90,17 +90,18 @@
     const { preferredRack } = step.spec;
     return {
         id: worker.record.id,
-        free: { ...getFreeRoom(worker) },
+        free: { ...getFreeResources(worker) },
         rack: worker.record.labels[1] ?? "",
         zone: worker.record.zone,
         sameStep: step.spec.maxPerWorker > 0 ? countSameStep(step, worker) : 0,
         isNear: preferredRack !== undefined && worker.record.labels.includes(preferredRack),
-        slowness: worker.speed.computeSlowness(now) + (step.failedOn.has(worker.record.id) ? 1 : 0),
+        slowness:
+            worker.speed.computeSpeedRank(now) + (step.failedWorkers.has(worker.record.id) ? 1 : 0),
         isDoubtful,
     };
 }
 
-function countSameStep(step: StepWork, worker: WorkerState): number {
+function countSameStep(step: ReadyStep, worker: WorkerState): number {
     let count = 0;
     for (const member of worker.members.values()) {
         count += createStepKey(member.unit) === step.key ? 1 : 0;
--- a/dispatch/_context.ts
+++ b/dispatch/_context.ts
@@ -16,9 +16,9 @@
 import type { Fact, StateStore } from "../job/mod.ts";
 import { AdviceDesk } from "./advice_desk.ts";
 import { GoodShares } from "./advice_plan.ts";
-import { StepBoard } from "./step_board.ts";
+import { ReadySteps } from "./ready_steps.ts";
 import type { DispatchClock, DispatchLimits, Effect, Outcome, RecordDecision } from "./types.ts";
-import { WorkerBook, type WorkerState } from "./worker_book.ts";
+import { WorkerRegistry, type WorkerState } from "./worker_registry.ts";
 
 /** Options of {@link DispatchContext}. */
 export interface DispatchContextOptions {
@@ -41,10 +41,10 @@
     // Twice the time for which a state must stay readable.
     retentionMs: 240_000,
     // A look that is lost is noticed after this and a little more; a third of a lease.
-    lookWaitMs: 1_500,
+    pollWaitMs: 1_500,
     // A smaller room binds three seconds and a heartbeat after it came; a second is left for the way of the
     // heartbeat, the commit and the order.
-    reportAgeMs: 3_500,
+    maxReportAgeMs: 3_500,
 };
 
 /** Shared state of one leader's decisions. */
@@ -52,8 +52,8 @@
     readonly ledger: StateStore;
     readonly clock: DispatchClock;
     readonly limits: DispatchLimits;
-    readonly book: WorkerBook;
-    readonly board: StepBoard;
+    readonly book: WorkerRegistry;
+    readonly board: ReadySteps;
     readonly desk = new AdviceDesk();
     readonly goodShares = new GoodShares();
     readonly recordDecision: RecordDecision;
@@ -70,12 +70,12 @@
         this.clock = options.clock;
         this.limits = { ...DEFAULT_DISPATCH_LIMITS, ...options.limits };
         this.recordDecision = options.record ?? (() => {});
-        this.book = new WorkerBook({
+        this.book = new WorkerRegistry({
             firstFence: options.firstFence,
             leaseMs: this.limits.leaseMs,
-            reportAgeMs: this.limits.reportAgeMs,
+            maxReportAgeMs: this.limits.maxReportAgeMs,
         });
-        this.board = new StepBoard({ ledger: this.ledger, clock: this.clock });
+        this.board = new ReadySteps({ ledger: this.ledger, clock: this.clock });
     }
 
     /**
@@ -85,7 +85,7 @@
      */
     record(fact: Fact): void {
         this.#facts.push(fact);
-        this.ledger.apply({ at: this.clock.getWall(), facts: [fact] });
+        this.ledger.apply({ at: this.clock.getWallTime(), facts: [fact] });
     }
 
     /**
@@ -95,7 +95,7 @@
      */
     recordRoom(worker: WorkerState | undefined): void {
         if (worker !== undefined) {
-            this.book.recordRoom(worker);
+            this.book.recordCapacityGain(worker);
         }
         this.isDirty = true;
     }
--- a/dispatch/_evacuator.ts
+++ b/dispatch/_evacuator.ts
@@ -14,7 +14,7 @@
 import type { DispatchContext } from "./_context.ts";
 import { selectEvacuees } from "./evacuation.ts";
 import type { MemberRun } from "./types.ts";
-import { getFreeRoom, hasRoomFor, type WorkerState } from "./worker_book.ts";
+import { getFreeResources, hasResourcesFor, type WorkerState } from "./worker_registry.ts";
 
 /** The evacuations of one leader. */
 export class Evacuator {
@@ -49,7 +49,7 @@
                 request: member.unit.job,
                 task: member.name,
                 worker: record.id,
-                percent: member.percent,
+                percent: member.progressPercent,
                 leavesInMs: Math.round(leavesAt - now),
             });
             this.#attempts.stopMember(member);
@@ -62,7 +62,7 @@
                 other !== worker &&
                 other.record.pool === worker.record.pool &&
                 this.#context.book.isUsable(other, now) &&
-                hasRoomFor(getFreeRoom(other), member.room)
+                hasResourcesFor(getFreeResources(other), member.reserved)
             ) {
                 return true;
             }
--- a/dispatch/_fixtures.ts
+++ b/dispatch/_fixtures.ts
@@ -30,7 +30,7 @@
 import { buildQueue, POOL, QUEUE } from "./_builders.ts";
 import { Dispatcher } from "./dispatcher.ts";
 import { FloorAudit, type SeenCrash, type SeenRun } from "./_floor_audit.ts";
-import type { AdviceCall, Effect, LaneId, LookAnswer, OrderAnswer } from "./types.ts";
+import type { AdviceCall, Effect, LaneId, PollAnswer, OrderAnswer } from "./types.ts";
 
 export * from "./_builders.ts";
 
@@ -289,7 +289,7 @@
     #createDispatcher(): Dispatcher {
         return new Dispatcher({
             ledger: this.durable.copy(),
-            clock: { getNow: () => this.now, getWall: () => this.now },
+            clock: { getNow: () => this.now, getWallTime: () => this.now },
             firstFence: this.#term * FENCES_PER_TERM,
         });
     }
@@ -458,17 +458,17 @@
     }
 
     #sendLook(id: WorkerId, mayWait: boolean, then: () => void): boolean {
-        const order = this.dispatcher.prepareLook(id, mayWait);
+        const order = this.dispatcher.preparePoll(id, mayWait);
         if (order === undefined) {
             return false;
         }
         const sentAt = this.now;
-        this.#send<LookAnswer>(
+        this.#send<PollAnswer>(
             "look",
             id,
             (worker) => worker.look(order),
             (answer) => {
-                this.dispatcher.handleLook(order, sentAt, answer);
+                this.dispatcher.handlePollAnswer(order, sentAt, answer);
                 then();
             },
             order.waitMs + LOOK_EXTRA_MS,
@@ -476,7 +476,7 @@
         return true;
     }
 
-    #send<A extends OrderAnswer | LookAnswer>(
+    #send<A extends OrderAnswer | PollAnswer>(
         kind: "start" | "stop" | "look",
         id: WorkerId,
         carryOut: (worker: TaskWorker) => A,
--- a/dispatch/_holds.ts
+++ b/dispatch/_holds.ts
@@ -15,13 +15,13 @@
 
 import type { QueueConfig } from "../configuration/mod.ts";
 import type { Resources, WorkerId } from "../job/mod.ts";
-import { computeRoom, type Attempts } from "./_attempts.ts";
+import { computeReserved, type Attempts } from "./_attempts.ts";
 import type { StepCandidates } from "./_candidates.ts";
 import type { DispatchContext } from "./_context.ts";
 import type { MemberRun } from "./types.ts";
 import { selectHeld, selectVictims } from "./reservation.ts";
-import type { StepWork } from "./step_board.ts";
-import { getFreeRoom, NO_ROOM } from "./worker_book.ts";
+import type { ReadyStep } from "./ready_steps.ts";
+import { getFreeResources, NO_RESOURCES } from "./worker_registry.ts";
 
 /**
  * Gangs that hold workers at the same time: a third of the floor at most stands ready (a mean gang
@@ -33,7 +33,7 @@
 
 /** A step that waits, with its place in the order. */
 export interface RankedStep {
-    readonly step: StepWork;
+    readonly step: ReadyStep;
     readonly queue: QueueConfig;
     readonly rank: number;
 }
@@ -64,7 +64,7 @@
             if (holders.length === MAX_HOLDERS) {
                 break;
             }
-            if (entry.step.held.size > 0) {
+            if (entry.step.reservedWorkers.size > 0) {
                 holders.push(entry);
             }
         }
@@ -85,7 +85,7 @@
                 holder.rank < entry.rank &&
                 holder.queue.priority > 0 &&
                 entry.queue.priority >= holder.queue.priority &&
-                holder.step.held.has(id),
+                holder.step.reservedWorkers.has(id),
         );
     }
 
@@ -98,21 +98,21 @@
      */
     updateHold(entry: RankedStep, candidates: StepCandidates, now: number): void {
         const { step } = entry;
-        const before = step.held;
-        step.held =
+        const before = step.reservedWorkers;
+        step.reservedWorkers =
             step.spec.isGang && step.waiting.size > 0
                 ? this.#selectHeld(entry, candidates)
                 : new Map();
-        this.#releaseWorkers(before, step.held);
-        const mayClear = now - step.clearedAt >= CLEAR_EVERY_MS;
-        if (step.held.size === 0 || !mayClear || this.#holders.length >= MAX_HOLDERS) {
+        this.#releaseWorkers(before, step.reservedWorkers);
+        const mayClear = now - step.preemptedAt >= CLEAR_EVERY_MS;
+        if (step.reservedWorkers.size === 0 || !mayClear || this.#holders.length >= MAX_HOLDERS) {
             return;
         }
         const victims = this.#listVictims(entry, candidates);
         if (victims === undefined) {
             return;
         }
-        step.clearedAt = now;
+        step.preemptedAt = now;
         for (const victim of victims) {
             this.#context.recordDecision("decision", "task makes way", {
                 request: victim.unit.job,
@@ -131,14 +131,14 @@
      */
     #listVictims({ step, queue }: RankedStep, candidates: StepCandidates): MemberRun[] | undefined {
         const admitted = new Set(candidates.admitted.map(({ id }) => id));
-        const needs = computeRoom(step.spec);
+        const needs = computeReserved(step.spec);
         const victims: MemberRun[] = [];
-        for (const [id, count] of step.held) {
+        for (const [id, count] of step.reservedWorkers) {
             const worker = this.#context.book.findWorker(id);
             if (worker === undefined || !admitted.has(id)) {
                 return undefined;
             }
-            const missingCpu = count * needs.cpu - getFreeRoom(worker).cpu;
+            const missingCpu = count * needs.cpu - getFreeResources(worker).cpu;
             const own = selectVictims(worker.members.values(), missingCpu, queue.priority);
             if (missingCpu > 0 && own.length === 0) {
                 return undefined;
@@ -153,7 +153,7 @@
             id,
             attainable: this.#computeAttainable(id, queue.priority),
         }));
-        return selectHeld(places, { needs: computeRoom(step.spec), count: step.spec.count });
+        return selectHeld(places, { needs: computeReserved(step.spec), count: step.spec.count });
     }
 
     /** What others were kept from may be used again. */
@@ -173,14 +173,14 @@
     #computeAttainable(id: WorkerId, priority: number): Resources {
         const worker = this.#context.book.findWorker(id);
         if (worker === undefined) {
-            return NO_ROOM;
+            return NO_RESOURCES;
         }
-        const room = { ...getFreeRoom(worker) };
+        const room = { ...getFreeResources(worker) };
         for (const member of worker.members.values()) {
             if (member.priority > priority) {
-                room.cpu += member.room.cpu;
-                room.memoryMb += member.room.memoryMb;
-                room.gpu += member.room.gpu;
+                room.cpu += member.reserved.cpu;
+                room.memoryMb += member.reserved.memoryMb;
+                room.gpu += member.reserved.gpu;
             }
         }
         return room;
--- a/dispatch/_isolation.ts
+++ b/dispatch/_isolation.ts
@@ -15,14 +15,14 @@
  */
 
 import type { WorkerId } from "../job/mod.ts";
-import { computeRoom } from "./_attempts.ts";
+import { computeReserved } from "./_attempts.ts";
 import type { StepCandidates } from "./_candidates.ts";
 import type { DispatchContext } from "./_context.ts";
-import { computeApartMs, hasOutlastedStart, OUTLASTED_MS } from "./crash_loop.ts";
+import { computeIsolationMs, isPastStartup, STARTUP_CRASH_WINDOW_MS } from "./crash_loop.ts";
 import { placeUnit, type Candidate } from "./placement.ts";
-import { createUnitKey, createUnitRef, type StepWork } from "./step_board.ts";
+import { createUnitKey, createUnitRef, type ReadyStep } from "./ready_steps.ts";
 import type { MemberRun, StepKey } from "./types.ts";
-import { hasRoomFor, NO_ROOM, type WorkerState } from "./worker_book.ts";
+import { hasResourcesFor, NO_RESOURCES, type WorkerState } from "./worker_registry.ts";
 
 /** A unit that finds no worker for itself within this time starts beside others, in ms. */
 const PATIENCE_MS = 3_000;
@@ -78,7 +78,7 @@
      * @param step The step.
      * @returns True beside a run under suspicion, and while the worker is kept for another step.
      */
-    isClosed(id: WorkerId, step: StepWork): boolean {
+    isClosed(id: WorkerId, step: ReadyStep): boolean {
         const holder = this.#reservations.get(id);
         return this.#closed.has(id) || (holder !== undefined && holder !== step.key);
     }
@@ -101,13 +101,13 @@
      * @param step The step.
      * @returns Their numbers.
      */
-    listSuspects(step: StepWork): number[] {
+    listSuspects(step: ReadyStep): number[] {
         if (!step.hasCrashes) {
             return [];
         }
         return [...step.waiting].filter((unit) => {
             const crashes = this.#context.ledger.findUnit(createUnitRef(step, unit))?.crashes ?? [];
-            return computeApartMs(crashes) > 0;
+            return computeIsolationMs(crashes) > 0;
         });
     }
 
@@ -121,7 +121,7 @@
      * @returns One worker a task; `undefined` when the unit has to wait.
      */
     selectWorkers(
-        step: StepWork,
+        step: ReadyStep,
         unit: number,
         candidates: StepCandidates,
         now: number,
@@ -147,7 +147,7 @@
     }
 
     /** On workers without young runs, those first that have least to lose. */
-    #placeApart(step: StepWork, admitted: readonly Candidate[]): WorkerId[] | undefined {
+    #placeApart(step: ReadyStep, admitted: readonly Candidate[]): WorkerId[] | undefined {
         const free = this.#selectSteady(admitted).filter(({ id }) => {
             const worker = this.#context.book.findWorker(id);
             return worker !== undefined && !hasYoungRun(worker);
@@ -174,7 +174,7 @@
         const now = clock.getNow();
         const steady = candidates.filter(({ id }) => {
             const address = book.findWorker(id)?.record.address ?? "";
-            return !book.isCrashProne(address, now);
+            return !book.hasRecentCrash(address, now);
         });
         return 2 * steady.length >= candidates.length ? steady : candidates;
     }
@@ -183,7 +183,7 @@
         return this.#context.book.findWorker(id)?.members.size ?? 0;
     }
 
-    #addReservation(step: StepWork, candidates: readonly Candidate[]): void {
+    #addReservation(step: ReadyStep, candidates: readonly Candidate[]): void {
         const { book } = this.#context;
         const workers = [...book.workers].length;
         const most = Math.max(1, Math.floor(workers / WORKERS_PER_RESERVATION));
@@ -192,10 +192,12 @@
         if (this.#reservations.size >= most || own >= wanted) {
             return;
         }
-        const needs = computeRoom(step.spec);
+        const needs = computeReserved(step.spec);
         const [best] = this.#selectSteady(candidates)
             .filter(({ id }) => !this.#reservations.has(id) && !this.#closed.has(id))
-            .filter(({ id }) => hasRoomFor(book.findWorker(id)?.record.capacity ?? NO_ROOM, needs))
+            .filter(({ id }) =>
+                hasResourcesFor(book.findWorker(id)?.record.capacity ?? NO_RESOURCES, needs),
+            )
             .sort((a, b) => this.#countMembers(a) - this.#countMembers(b));
         if (best !== undefined) {
             this.#reservations.set(best.id, step.key);
@@ -214,8 +216,8 @@
     /** The runs that keep others off their workers; those that may have outlasted their starts are looked at. */
     #listApart(now: number): MemberRun[] {
         const apart: MemberRun[] = [];
-        for (const member of this.#context.book.suspects) {
-            if (member.lastedMs >= member.apartMs) {
+        for (const member of this.#context.book.isolatedRuns) {
+            if (member.observedRunMs >= member.isolationMs) {
                 continue;
             }
             apart.push(member);
@@ -228,8 +230,8 @@
     }
 
     #look(worker: WorkerState, now: number): void {
-        if (now - worker.extraLookAt >= LOOK_AGAIN_MS) {
-            worker.extraLookAt = now;
+        if (now - worker.extraPollAt >= LOOK_AGAIN_MS) {
+            worker.extraPollAt = now;
             this.#context.emit({ type: "look", worker: worker.record.id });
         }
     }
@@ -239,22 +241,22 @@
 function isUnproven(member: MemberRun, now: number): boolean {
     return (
         member.state === "running" &&
-        !hasOutlastedStart(member) &&
-        now - member.startedAt >= OUTLASTED_MS
+        !isPastStartup(member) &&
+        now - member.startedAt >= STARTUP_CRASH_WINDOW_MS
     );
 }
 
 function hasYoungRun(worker: WorkerState): boolean {
-    return [...worker.members.values()].some((member) => !hasOutlastedStart(member));
+    return [...worker.members.values()].some((member) => !isPastStartup(member));
 }
 
 function createRequest(
-    step: StepWork,
+    step: ReadyStep,
     candidates: readonly Candidate[],
 ): Parameters<typeof placeUnit>[0] {
     const { isGang, count, maxPerWorker, isRackLocal } = step.spec;
     return {
-        needs: computeRoom(step.spec),
+        needs: computeReserved(step.spec),
         count: isGang ? count : 1,
         candidates,
         maxPerWorker,
--- a/dispatch/_orders.ts
+++ b/dispatch/_orders.ts
@@ -11,31 +11,36 @@
  * @module
  */
 
-import { MAX_START_TRIES, type Attempts } from "./_attempts.ts";
+import { MAX_START_SENDS, type Attempts } from "./_attempts.ts";
 import type { DispatchContext } from "./_context.ts";
-import type { WorkerLosses } from "./_worker_losses.ts";
-import { createStepKey } from "./step_board.ts";
+import type { WorkerFailures } from "./_worker_failures.ts";
+import { createStepKey } from "./ready_steps.ts";
 import type { MemberRun, OrderAnswer, PaceOrder, StartOrder, StopOrder } from "./types.ts";
-import { getFreeRoom, hasRoomFor, NO_ROOM, type WorkerState } from "./worker_book.ts";
+import {
+    getFreeResources,
+    hasResourcesFor,
+    NO_RESOURCES,
+    type WorkerState,
+} from "./worker_registry.ts";
 
 /** Pause of a step after a start of it was refused as unreadable, in ms. */
-const UNREADABLE_PAUSE_MS = 1_000;
+const INVALID_START_PAUSE_MS = 1_000;
 
 /** The orders of one leader. */
 export class Orders {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
-    readonly #losses: WorkerLosses;
+    readonly #failures: WorkerFailures;
 
     /**
      * @param context What the parts share.
      * @param attempts The attempts under way.
-     * @param losses Takes workers that are silent or gone.
+     * @param failures Takes workers that are silent or gone.
      */
-    constructor(context: DispatchContext, attempts: Attempts, losses: WorkerLosses) {
+    constructor(context: DispatchContext, attempts: Attempts, failures: WorkerFailures) {
         this.#context = context;
         this.#attempts = attempts;
-        this.#losses = losses;
+        this.#failures = failures;
     }
 
     /**
@@ -54,16 +59,16 @@
         const isWanted =
             job.endedAt === undefined &&
             job.spec !== undefined &&
-            (member.tries > 0 || this.#hasRoomStill(worker, now));
-        const until = isWanted ? this.#context.book.grantLease(worker, now) : undefined;
-        if (until === undefined) {
+            (member.startSends > 0 || this.#hasCapacity(worker, now));
+        const leaseEndMs = isWanted ? this.#context.book.grantLease(worker, now) : undefined;
+        if (leaseEndMs === undefined) {
             if (member.state === "planned") {
                 this.#attempts.endMember(member, "void", "");
             }
             return undefined;
         }
         member.state = "ordered";
-        member.tries += 1;
+        member.startSends += 1;
         member.fence = worker.fence;
         const unit = this.#context.ledger.findUnit(member.unit);
         return {
@@ -72,7 +77,7 @@
             task: member.name,
             attempt: member.attempt,
             payload: job.spec?.payload ?? "",
-            untilMs: until,
+            untilMs: leaseEndMs,
             fence: worker.fence,
             checkpoint: unit?.checkpoint ?? "",
             ticket: member.ticket,
@@ -94,7 +99,7 @@
         switch (answer.type) {
             case "accepted":
                 this.#context.book.recordAnswer(worker, answer.clockMs, now);
-                member.settledAt = now;
+                member.startResolvedAt = now;
                 if (member.state === "ordered") {
                     member.state = "running";
                     member.startedAt = now;
@@ -105,7 +110,7 @@
                 this.#handleRefusal(worker, member, answer.reason);
                 return;
             case "gone":
-                this.#losses.replaceWorker(worker);
+                this.#failures.handleReplacement(worker);
                 return;
             case "undelivered":
                 this.#handleUndelivered(worker, member, answer.cause);
@@ -173,14 +178,14 @@
         const now = this.#context.clock.getNow();
         if (answer.type === "accepted") {
             this.#context.book.recordAnswer(worker, answer.clockMs, now);
-            if (member.settledAt === undefined) {
-                member.settledAt = now;
+            if (member.startResolvedAt === undefined) {
+                member.startResolvedAt = now;
                 this.#context.emit({ type: "look", worker: member.worker });
             }
         } else if (answer.type === "gone") {
-            this.#losses.replaceWorker(worker);
+            this.#failures.handleReplacement(worker);
         } else if (answer.type === "unanswered" || answer.type === "undelivered") {
-            this.#losses.setSuspect(worker, answer.cause);
+            this.#failures.setSuspect(worker, answer.cause);
         }
     }
 
@@ -195,48 +200,48 @@
             attempt: member.attempt,
             worker: member.worker,
             reason,
-            tries: member.tries,
+            tries: member.startSends,
         });
         if (reason === "invalid") {
-            this.#setPause(member);
+            this.#setStepPause(member);
         }
         if (reason === "unhealthy" || reason === "no_room") {
             this.#context.book.recordRefusal(worker, this.#context.clock.getNow());
         }
-        if (member.tries <= 1) {
+        if (member.startSends <= 1) {
             this.#dropTicket(member, reason);
             this.#attempts.endMember(member, "void", "");
             return;
         }
         // An earlier send got no answer and may yet be carried out, or was and has ended since.
         if (reason === "superseded") {
-            member.settledAt = this.#context.clock.getNow();
+            member.startResolvedAt = this.#context.clock.getNow();
             this.#context.emit({ type: "look", worker: member.worker });
         } else {
-            this.#startBarrier(worker, member);
+            this.#ensureFenced(worker, member);
         }
     }
 
     /** The room may have shrunk since the start was decided, or a slow commit may have outlasted what is known of it. */
-    #hasRoomStill(worker: WorkerState, now: number): boolean {
+    #hasCapacity(worker: WorkerState, now: number): boolean {
         return (
             this.#context.book.hasFreshReport(worker, now) &&
-            hasRoomFor(getFreeRoom(worker), NO_ROOM)
+            hasResourcesFor(getFreeResources(worker), NO_RESOURCES)
         );
     }
 
     /** What one worker can not read no other can: sent at once to the next it would go round for ever. */
-    #setPause(member: MemberRun): void {
+    #setStepPause(member: MemberRun): void {
         const step = this.#context.board.findStep(createStepKey(member.unit));
         if (step !== undefined) {
-            step.pausedUntil = this.#context.clock.getNow() + UNREADABLE_PAUSE_MS;
+            step.pausedUntil = this.#context.clock.getNow() + INVALID_START_PAUSE_MS;
         }
     }
 
     #dropTicket(member: MemberRun, reason: string): void {
         if (reason === "ticket") {
             const step = this.#context.board.findStep(createStepKey(member.unit));
-            step?.advice.good.set(member.worker, { ticket: "", validUntil: 0 });
+            step?.advice.admitted.set(member.worker, { ticket: "", validUntil: 0 });
         }
     }
 
@@ -245,11 +250,11 @@
      * a refused connection would have its lease renewed for ever while it is dead.
      */
     #handleUndelivered(worker: WorkerState, member: MemberRun, cause: string): void {
-        this.#losses.setSuspect(worker, cause);
-        if (member.tries <= 1) {
+        this.#failures.setSuspect(worker, cause);
+        if (member.startSends <= 1) {
             this.#attempts.endMember(member, "void", "");
         } else {
-            this.#startBarrier(worker, member);
+            this.#ensureFenced(worker, member);
         }
     }
 
@@ -259,17 +264,17 @@
             task: member.name,
             attempt: member.attempt,
             worker: member.worker,
-            tries: member.tries,
+            tries: member.startSends,
             cause,
         });
-        if (member.tries < MAX_START_TRIES && member.state === "ordered") {
+        if (member.startSends < MAX_START_SENDS && member.state === "ordered") {
             // The worker takes a start that it has already as done: sending it again over
             // another connection is safe and tells a lost answer from a lost worker.
             this.#context.emit({ type: "start", member });
             return;
         }
-        this.#losses.setSuspect(worker, cause);
-        this.#startBarrier(worker, member);
+        this.#failures.setSuspect(worker, cause);
+        this.#ensureFenced(worker, member);
     }
 
     /**
@@ -277,7 +282,7 @@
      * later, when its task runs elsewhere already: the task would run twice. Once the worker has
      * taken the higher fence it refuses the late start, and its lists say whether it ran before.
      */
-    #startBarrier(worker: WorkerState, member: MemberRun): void {
+    #ensureFenced(worker: WorkerState, member: MemberRun): void {
         if (worker.fence <= member.fence) {
             this.#context.book.advanceFence(worker);
         }
--- a/dispatch/_pacer.ts
+++ b/dispatch/_pacer.ts
@@ -14,16 +14,16 @@
 
 import type { DispatchContext } from "./_context.ts";
 import type { MemberRun } from "./types.ts";
-import type { WorkerState } from "./worker_book.ts";
+import type { WorkerState } from "./worker_registry.ts";
 
 /** A tail above this share of the target counts as a miss to come: figures are rough. */
-const ALARM_SHARE = 0.9;
+const PAUSE_THRESHOLD = 0.9;
 /** Fillers work more again once the tail is below this share of the target. */
-const CALM_SHARE = 0.6;
+const RECOVERY_THRESHOLD = 0.6;
 /** Calm must last this long before each step up, in ms: the disturbance changes within seconds. */
-const CALM_MS = 3_000;
+const RECOVERY_INTERVAL_MS = 3_000;
 /** A step up, in percent. */
-const STEP_UP_PERCENT = 25;
+const RECOVERY_STEP_PERCENT = 25;
 const FULL_PERCENT = 100;
 
 /** The pacing of one leader. */
@@ -49,27 +49,27 @@
             return;
         }
         const now = this.#context.clock.getNow();
-        const shares = members
+        const latencyRatios = members
             .filter((member) => member.targetMs > 0 && member.state === "running")
             .map((member) => member.load / member.targetMs);
-        const worst = Math.max(0, ...shares);
-        if (worst > ALARM_SHARE) {
+        const worstRatio = Math.max(0, ...latencyRatios);
+        if (worstRatio > PAUSE_THRESHOLD) {
             // At once and wholly: a miss that lasts seconds costs the serving task's users, a
             // filler that pauses costs nothing but time.
-            worker.calmSince = undefined;
+            worker.belowTargetSince = undefined;
             fillers.forEach((filler) => this.#setPace(filler, 0));
             return;
         }
-        if (worst > CALM_SHARE) {
-            worker.calmSince = undefined;
+        if (worstRatio > RECOVERY_THRESHOLD) {
+            worker.belowTargetSince = undefined;
             return;
         }
-        worker.calmSince ??= now;
-        if (now - worker.calmSince >= CALM_MS) {
-            worker.calmSince = now;
+        worker.belowTargetSince ??= now;
+        if (now - worker.belowTargetSince >= RECOVERY_INTERVAL_MS) {
+            worker.belowTargetSince = now;
             fillers.forEach((filler) => {
                 const pace = filler.pacePercent ?? FULL_PERCENT;
-                this.#setPace(filler, Math.min(FULL_PERCENT, pace + STEP_UP_PERCENT));
+                this.#setPace(filler, Math.min(FULL_PERCENT, pace + RECOVERY_STEP_PERCENT));
             });
         }
     }
--- a/dispatch/_placer.ts
+++ b/dispatch/_placer.ts
@@ -13,7 +13,7 @@
 
 import type { QueueConfig } from "../configuration/mod.ts";
 import type { WorkerId } from "../job/mod.ts";
-import { computeRoom, type Attempts } from "./_attempts.ts";
+import { computeReserved, type Attempts } from "./_attempts.ts";
 import { planAdvice, type AskedWorker } from "./advice_plan.ts";
 import { listCandidates, takeRoom, type StepCandidates } from "./_candidates.ts";
 import type { DispatchContext } from "./_context.ts";
@@ -22,9 +22,9 @@
 import { countPlaces, placeUnit, type Candidate } from "./placement.ts";
 import { rankStep } from "./ranking.ts";
 import { selectForRepetition } from "./repetition.ts";
-import { createUnitRef, type StepWork } from "./step_board.ts";
+import { createUnitRef, type ReadyStep } from "./ready_steps.ts";
 import type { Admission, AdviceCall } from "./types.ts";
-import type { WorkerState } from "./worker_book.ts";
+import type { WorkerState } from "./worker_registry.ts";
 import { rankZones } from "./zone_choice.ts";
 
 /** A ticket is not used so shortly before its end: the commit and the order take time, in ms. */
@@ -92,7 +92,7 @@
     }
 
     #rankWaiting(): RankedStep[] {
-        const wall = this.#context.clock.getWall();
+        const wall = this.#context.clock.getWallTime();
         const ranked: RankedStep[] = [];
         for (const step of this.#context.board.steps) {
             const queue = step.waiting.size > 0 ? this.#context.findQueue(step.queue) : undefined;
@@ -113,14 +113,16 @@
             return "none";
         }
         const awaitsAdvice =
-            queue.advice !== undefined && step.advice.calls.size > 0 && step.advice.good.size === 0;
+            queue.advice !== undefined &&
+            step.advice.pendingCalls.size > 0 &&
+            step.advice.admitted.size === 0;
         if (awaitsAdvice) {
             return "none";
         }
-        if (step.triedVersion === undefined) {
+        if (step.matchedVersion === undefined) {
             return "all";
         }
-        const waitedMs = now - step.triedAllAt;
+        const waitedMs = now - step.matchedAllAt;
         if (
             step.hasCrashes &&
             waitedMs >= RETRY_GANG_MS &&
@@ -135,16 +137,17 @@
         if (waitedMs >= RETRY_ALL_MS) {
             return "all";
         }
-        return step.triedVersion === this.#context.book.roomVersion ? "none" : "changed";
+        return step.matchedVersion === this.#context.book.capacityVersion ? "none" : "changed";
     }
 
     #placeStep(entry: RankedStep, match: Match, now: number): void {
         const { step } = entry;
         const { book } = this.#context;
-        const workers = match === "all" ? book.workers : book.listChanged(step.triedVersion ?? 0);
-        step.triedVersion = book.roomVersion;
+        const workers =
+            match === "all" ? book.workers : book.listChangedSince(step.matchedVersion ?? 0);
+        step.matchedVersion = book.capacityVersion;
         if (match === "all") {
-            step.triedAllAt = now;
+            step.matchedAllAt = now;
         }
         const candidates = this.#listCandidates(entry, workers, now);
         const hasPlaced = this.#placeUnits(step, candidates, now);
@@ -156,19 +159,19 @@
         }
     }
 
-    #placeUnits(step: StepWork, candidates: StepCandidates, now: number): boolean {
+    #placeUnits(step: ReadyStep, candidates: StepCandidates, now: number): boolean {
         const suspects = this.#isolation.listSuspects(step);
         const { repeated, first } = this.#listByHistory(step, suspects);
         const hasPlacedSuspects = this.#placeApart(step, suspects, candidates, now);
         const open = this.#isolation.selectOpen(candidates.admitted);
-        const trusted = selectForRepetition(open, now - step.failedAt);
+        const trusted = selectForRepetition(open, now - step.lastFailureAt);
         const hasPlacedRepeated = this.#placeEach(step, repeated, trusted);
         const hasPlacedFirst = this.#placeEach(step, first, open);
         return hasPlacedSuspects || hasPlacedRepeated || hasPlacedFirst;
     }
 
     #placeApart(
-        step: StepWork,
+        step: ReadyStep,
         suspects: readonly number[],
         candidates: StepCandidates,
         now: number,
@@ -186,11 +189,11 @@
 
     /** Units that failed before go first: their job waits for them longest. */
     #listByHistory(
-        step: StepWork,
+        step: ReadyStep,
         suspects: readonly number[],
     ): { repeated: number[]; first: number[] } {
         const units = [...step.waiting].filter((unit) => !suspects.includes(unit));
-        if (step.failedOn.size === 0) {
+        if (step.failedWorkers.size === 0) {
             return { repeated: [], first: units };
         }
         const hasFailed = (unit: number): boolean =>
@@ -202,11 +205,11 @@
     }
 
     #placeEach(
-        step: StepWork,
+        step: ReadyStep,
         units: readonly number[],
         candidates: readonly Candidate[],
     ): boolean {
-        const needs = computeRoom(step.spec);
+        const needs = computeReserved(step.spec);
         const count = step.spec.isGang ? step.spec.count : 1;
         const { maxPerWorker, isRackLocal, isPerpetual } = step.spec;
         const tasksByZone = this.#countByZone(step);
@@ -227,7 +230,7 @@
     }
 
     /** Where tasks of the step run now, by zone. */
-    #countByZone(step: StepWork): Map<string, number> {
+    #countByZone(step: ReadyStep): Map<string, number> {
         const counts = new Map<string, number>();
         const units = step.job.occurrences.get(step.occurrence)?.steps[step.step] ?? [];
         for (const { members } of units) {
@@ -254,7 +257,7 @@
         return listCandidates(this.#context, { step, queue, workers, isHeld, now });
     }
 
-    #startAttempt(step: StepWork, unitNumber: number, workers: readonly WorkerId[]): void {
+    #startAttempt(step: ReadyStep, unitNumber: number, workers: readonly WorkerId[]): void {
         const ref = createUnitRef(step, unitNumber);
         const attempt = (this.#context.ledger.findUnit(ref)?.attempt ?? 0) + 1;
         const members = workers.map(
@@ -263,7 +266,7 @@
         this.#context.record({ type: "attemptStarted", unit: ref, attempt, members });
         step.waiting.delete(unitNumber);
         for (const [index, worker] of members) {
-            const ticket = step.advice.good.get(worker)?.ticket;
+            const ticket = step.advice.admitted.get(worker)?.ticket;
             const member = this.#attempts.createMember(step.job, ref, index, worker, ticket);
             this.#attempts.addMember(member);
             this.#context.emit({ type: "start", member }, { type: "watch", worker });
@@ -274,7 +277,7 @@
             unit: unitNumber,
             attempt,
             workers,
-            waitedMs: Math.round(this.#context.clock.getWall() - step.readyAt),
+            waitedMs: Math.round(this.#context.clock.getWallTime() - step.readyAt),
         });
     }
 
@@ -282,7 +285,7 @@
     #ensureAdvice(entry: RankedStep, match: Match, candidates: StepCandidates, now: number): void {
         const { step, queue, rank } = entry;
         const { advice } = step;
-        if (queue.advice === undefined || advice.calls.size > 0 || now < advice.retryAt) {
+        if (queue.advice === undefined || advice.pendingCalls.size > 0 || now < advice.retryAt) {
             return;
         }
         const policy = queue.advice;
@@ -304,13 +307,13 @@
                 workers,
                 rank,
             };
-            advice.calls.add(call.id);
+            advice.pendingCalls.add(call.id);
             this.#context.desk.addCall(call, queue.priority, now);
         }
     }
 
     /** @returns The workers to name, call by call. */
-    #planAdvice(step: StepWork, queue: QueueConfig, candidates: StepCandidates): WorkerId[][] {
+    #planAdvice(step: ReadyStep, queue: QueueConfig, candidates: StepCandidates): WorkerId[][] {
         const { advice: policy } = queue;
         if (policy === undefined) {
             return [];
@@ -328,7 +331,7 @@
         }
         const known = [...candidates.expired, ...candidates.admitted];
         // A gang that holds workers asks while they are cleared, so that its tickets are fresh then.
-        const isHolding = step.held.size > 0 && candidates.admitted.length === 0;
+        const isHolding = step.reservedWorkers.size > 0 && candidates.admitted.length === 0;
         if (!isHolding && !hasRoomForUnit(step, known)) {
             return [];
         }
@@ -351,20 +354,20 @@
         const times = this.#context.desk.endCall(call.id, admissions !== undefined, now);
         this.#context.isDirty = true;
         const step = this.#context.board.findStep(call.step);
-        if (step === undefined || !step.advice.calls.delete(call.id)) {
+        if (step === undefined || !step.advice.pendingCalls.delete(call.id)) {
             return;
         }
-        step.triedVersion = undefined;
+        step.matchedVersion = undefined;
         if (admissions === undefined) {
             return;
         }
         this.#recordShare(step, call, admissions);
-        call.workers.forEach((worker) => step.advice.asked.add(worker));
+        call.workers.forEach((worker) => step.advice.askedWorkers.add(worker));
         const validUntil = now - ageMs + call.policy.validMs - TICKET_MARGIN_MS;
         for (const { worker, ticket } of admissions) {
-            step.advice.good.set(worker, { ticket, validUntil });
+            step.advice.admitted.set(worker, { ticket, validUntil });
         }
-        if (admissions.length === 0 && step.advice.calls.size === 0) {
+        if (admissions.length === 0 && step.advice.pendingCalls.size === 0) {
             step.advice.retryAt = now + ADVICE_RETRY_MS;
         }
         this.#context.recordDecision("decision", "advice received", {
@@ -377,8 +380,8 @@
         });
     }
 
-    #recordShare(step: StepWork, call: AdviceCall, admissions: readonly Admission[]): void {
-        const isNew = (worker: WorkerId): boolean => !step.advice.asked.has(worker);
+    #recordShare(step: ReadyStep, call: AdviceCall, admissions: readonly Admission[]): void {
+        const isNew = (worker: WorkerId): boolean => !step.advice.askedWorkers.has(worker);
         const asked = call.workers.filter((worker) => isNew(worker)).length;
         const good = admissions.filter(({ worker }) => isNew(worker)).length;
         this.#context.goodShares.record(call.queue, asked, good);
@@ -386,16 +389,16 @@
 }
 
 /** Whether a unit of a step fits, with any ticket. */
-function hasRoomForUnit(step: StepWork, candidates: readonly Candidate[]): boolean {
+function hasRoomForUnit(step: ReadyStep, candidates: readonly Candidate[]): boolean {
     const { count, isGang, maxPerWorker } = step.spec;
-    const needs = computeRoom(step.spec);
+    const needs = computeReserved(step.spec);
     const request = { needs, count: isGang ? count : 1, candidates, maxPerWorker };
     return placeUnit({ ...request, isRackLocal: false }) !== undefined;
 }
 
 /** The workers with most room first: an answer about them is most likely to start something. */
-function rankForAdvice(step: StepWork, candidates: readonly Candidate[]): AskedWorker[] {
-    const needs = computeRoom(step.spec);
+function rankForAdvice(step: ReadyStep, candidates: readonly Candidate[]): AskedWorker[] {
+    const needs = computeReserved(step.spec);
     return [...candidates]
         .sort((a, b) => b.free.cpu - a.free.cpu)
         .map(({ id, free }) => ({ id, places: countPlaces(free, needs) }));
--- a/dispatch/_worker_losses.ts
+++ b/dispatch/_worker_failures.ts
@@ -3,7 +3,7 @@
  *
  * @example
  * ```ts
- * import { WorkerLosses } from "./_worker_losses.ts";
+ * import { WorkerLosses } from "./_worker_failures.ts";
  * const losses = new WorkerLosses(context, attempts);
  * losses.setSuspect(worker, "no answer within 400 ms");
  * ```
@@ -13,13 +13,13 @@
 
 import type { WorkerId } from "../job/mod.ts";
 import type { Attempts } from "./_attempts.ts";
-import { computeEvidence } from "./crash_loop.ts";
+import { computeCrashEvidence } from "./crash_loop.ts";
 import type { DispatchContext } from "./_context.ts";
 import type { MemberRun } from "./types.ts";
-import type { WorkerState } from "./worker_book.ts";
+import type { WorkerState } from "./worker_registry.ts";
 
 /** The losses of one leader. */
-export class WorkerLosses {
+export class WorkerFailures {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
 
@@ -54,23 +54,26 @@
      *
      * @param worker The worker.
      */
-    replaceWorker(worker: WorkerState): void {
+    handleReplacement(worker: WorkerState): void {
         const { id, address, isDraining } = worker.record;
         const { book, clock } = this.#context;
         const lapsed = this.#context.ledger.attemptsOnExpiredLeases.get(id) ?? [];
-        const under = isDraining
+        const crashedAttempts = isDraining
             ? []
-            : [...lapsed, ...computeEvidence([...worker.members.values()])];
+            : [...lapsed, ...computeCrashEvidence([...worker.members.values()])];
         if (!isDraining) {
             book.recordCrash(address, clock.getNow());
         }
-        if (under.length > 0) {
-            this.#context.record({ type: "workerCrashed", worker: id, under });
-            this.#context.recordDecision("failure", "worker crashed", { worker: id, under });
+        if (crashedAttempts.length > 0) {
+            this.#context.record({ type: "workerCrashed", worker: id, under: crashedAttempts });
+            this.#context.recordDecision("failure", "worker crashed", {
+                worker: id,
+                under: crashedAttempts,
+            });
         }
-        under.forEach(({ unit }) => this.#context.board.recordCrash(unit));
+        crashedAttempts.forEach(({ unit }) => this.#context.board.recordCrash(unit));
         this.removeWorker(id, "another incarnation answers");
-        under.forEach(({ unit }) => this.#attempts.endIfFailed(unit));
+        crashedAttempts.forEach(({ unit }) => this.#attempts.endIfFailed(unit));
     }
 
     /**
@@ -85,9 +88,13 @@
         this.#context.recordDecision("failure", "lease over", {
             worker: id,
             members: members.length,
-            silentMs: Math.round(this.#context.clock.getNow() - worker.heardAt),
+            silentMs: Math.round(this.#context.clock.getNow() - worker.lastContactAt),
+        });
+        this.#context.record({
+            type: "workerLapsed",
+            worker: id,
+            under: computeCrashEvidence(members),
         });
-        this.#context.record({ type: "workerLapsed", worker: id, under: computeEvidence(members) });
         this.#attempts.endMembers(members);
     }
 
@@ -106,18 +113,18 @@
      * Takes a worker for gone, with all that ran there.
      *
      * @param id The worker.
-     * @param why How it is known.
+     * @param reason How it is known.
      */
-    removeWorker(id: WorkerId, why: string): void {
+    removeWorker(id: WorkerId, reason: string): void {
         const worker = this.#context.book.findWorker(id);
         if (worker === undefined) {
             return;
         }
         this.#context.recordDecision("failure", "worker gone", {
             worker: id,
-            why,
+            why: reason,
             members: worker.members.size,
-            silentMs: Math.round(this.#context.clock.getNow() - worker.heardAt),
+            silentMs: Math.round(this.#context.clock.getNow() - worker.lastContactAt),
             draining: worker.record.isDraining,
         });
         this.#context.record({ type: "workerGone", worker: id });
--- a/dispatch/_looks.ts
+++ b/dispatch/_worker_poller.ts
@@ -3,7 +3,7 @@
  *
  * @example
  * ```ts
- * import { Looks } from "./_looks.ts";
+ * import { Looks } from "./_worker_poller.ts";
  * const looks = new Looks(context, attempts, losses);
  * const order = looks.prepareLook(worker, true);
  * ```
@@ -15,10 +15,10 @@
 import type { Attempts } from "./_attempts.ts";
 import type { DispatchContext } from "./_context.ts";
 import { Pacer } from "./_pacer.ts";
-import type { WorkerLosses } from "./_worker_losses.ts";
-import { createStepKey, createUnitKey } from "./step_board.ts";
-import type { EndReport, LookAnswer, LookOrder, MemberRun, RunningReport } from "./types.ts";
-import type { WorkerState } from "./worker_book.ts";
+import type { WorkerFailures } from "./_worker_failures.ts";
+import { createStepKey, createUnitKey } from "./ready_steps.ts";
+import type { EndReport, PollAnswer, PollOrder, MemberRun, RunningReport } from "./types.ts";
+import type { WorkerState } from "./worker_registry.ts";
 
 /** Ends listed in one answer at most; a full list may leave others out. */
 const MAX_ENDS_LISTED = 500;
@@ -26,24 +26,24 @@
 /** Progress is told in whole percent: over shorter times it says little, in ms. */
 const MIN_SPEED_SAMPLE_MS = 250;
 /** A task that shows no progress for this long after its start stands still, in ms. */
-const START_UP_MS = 1_000;
+const STARTUP_MS = 1_000;
 
 /** The looks of one leader, and what their answers mean. */
-export class Looks {
+export class WorkerPoller {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
-    readonly #losses: WorkerLosses;
+    readonly #failures: WorkerFailures;
     readonly #pacer: Pacer;
 
     /**
      * @param context What the parts share.
      * @param attempts The attempts under way.
-     * @param losses Takes workers that are silent or gone.
+     * @param failures Takes workers that are silent or gone.
      */
-    constructor(context: DispatchContext, attempts: Attempts, losses: WorkerLosses) {
+    constructor(context: DispatchContext, attempts: Attempts, failures: WorkerFailures) {
         this.#context = context;
         this.#attempts = attempts;
-        this.#losses = losses;
+        this.#failures = failures;
         this.#pacer = new Pacer(context);
     }
 
@@ -54,13 +54,13 @@
      * @param mayWait Whether the worker may hold its answer back until something ends.
      * @returns The look, or `undefined` when nothing runs there and every end is acknowledged.
      */
-    prepareLook(id: WorkerId, mayWait: boolean): LookOrder | undefined {
+    preparePoll(id: WorkerId, mayWait: boolean): PollOrder | undefined {
         const worker = this.#context.book.findWorker(id);
         if (worker === undefined) {
             return undefined;
         }
-        const hasUntold = worker.durableCursor > worker.toldCursor;
-        if (mayWait && worker.members.size === 0 && !hasUntold) {
+        const hasUnacknowledged = worker.durableCursor > worker.acknowledgedCursor;
+        if (mayWait && worker.members.size === 0 && !hasUnacknowledged) {
             return undefined;
         }
         return {
@@ -77,7 +77,7 @@
             // cut healed would be given up two seconds later, and the worker's tasks wait as long.
             waitMs:
                 mayWait && worker.members.size > 0 && !worker.isSuspect
-                    ? this.#context.limits.lookWaitMs
+                    ? this.#context.limits.pollWaitMs
                     : 0,
         };
     }
@@ -89,19 +89,19 @@
      * @param sentAt When it was sent, in ms.
      * @param answer The answer.
      */
-    handleLook(order: LookOrder, sentAt: number, answer: LookAnswer): void {
+    handlePollAnswer(order: PollOrder, sentAt: number, answer: PollAnswer): void {
         const worker = this.#context.book.findWorker(order.worker);
         if (worker === undefined) {
             return;
         }
         if (answer.type === "gone") {
-            this.#losses.replaceWorker(worker);
+            this.#failures.handleReplacement(worker);
             return;
         }
         if (answer.type === "unanswered" || answer.type === "undelivered") {
             // One that left later may have been answered meanwhile: then the worker is not silent.
-            if (worker.lookedAt < sentAt) {
-                this.#losses.setSuspect(worker, answer.cause);
+            if (worker.pollAnsweredAt < sentAt) {
+                this.#failures.setSuspect(worker, answer.cause);
             }
             return;
         }
@@ -117,9 +117,9 @@
             this.#context.recordRoom(worker);
         }
         this.#context.book.recordAnswer(worker, answer.clockMs, now);
-        worker.lookedAt = now;
-        this.#losses.clearLapse(order.worker);
-        worker.toldCursor = Math.max(worker.toldCursor, order.cursor);
+        worker.pollAnsweredAt = now;
+        this.#failures.clearLapse(order.worker);
+        worker.acknowledgedCursor = Math.max(worker.acknowledgedCursor, order.cursor);
         answer.ended.forEach((report) => this.#handleEnd(worker, report));
         if (worker.readCursor > worker.durableCursor) {
             const cursor = worker.readCursor;
@@ -127,7 +127,7 @@
         }
         answer.running.forEach((report) => this.#handleRunning(worker, report));
         this.#pacer.update(worker);
-        this.#settleMissing(worker, order, sentAt, answer);
+        this.#resolveMissing(worker, order, sentAt, answer);
     }
 
     /**
@@ -151,7 +151,7 @@
             return;
         }
         if (report.how === "done") {
-            this.#context.book.recordDone(worker);
+            this.#context.book.recordSuccess(worker);
         } else if (report.how === "failed") {
             this.#recordFailure(worker, member);
         }
@@ -161,13 +161,13 @@
     /** A lasting task may fail at any time by its own fault: only one that fails at its start tells of its worker. */
     #recordFailure(worker: WorkerState, member: MemberRun): void {
         const now = this.#context.clock.getNow();
-        if (!member.isPerpetual || now - member.startedAt < START_UP_MS) {
+        if (!member.isPerpetual || now - member.startedAt < STARTUP_MS) {
             this.#context.book.recordFailure(worker, createUnitKey(member.unit), now);
         }
         const step = this.#context.board.findStep(createStepKey(member.unit));
         if (step !== undefined) {
-            step.failedOn.add(member.worker);
-            step.failedAt = now;
+            step.failedWorkers.add(member.worker);
+            step.lastFailureAt = now;
         }
     }
 
@@ -177,36 +177,36 @@
             return;
         }
         const now = this.#context.clock.getNow();
-        member.settledAt ??= now;
+        member.startResolvedAt ??= now;
         if (member.state === "ordered") {
             member.state = "running";
         }
         member.load = report.load;
-        member.lastedMs = now - member.startedAt;
+        member.observedRunMs = now - member.startedAt;
         this.#recordProgress(worker, member, report.percent, now);
     }
 
     /** A worker's speed is what its tasks' progress shows against their estimates. */
     #recordProgress(worker: WorkerState, member: MemberRun, percent: number, now: number): void {
-        const tookMs = now - member.reportedAt;
-        if (member.isPerpetual || member.state !== "running" || tookMs < MIN_SPEED_SAMPLE_MS) {
+        const elapsedMs = now - member.progressAt;
+        if (member.isPerpetual || member.state !== "running" || elapsedMs < MIN_SPEED_SAMPLE_MS) {
             return;
         }
-        const doneMs = ((percent - member.percent) / 100) * member.estimateMs;
+        const completedMs = ((percent - member.progressPercent) / 100) * member.estimateMs;
         // A gang's members stand still until the last one is there.
-        if (percent > 0 || now - member.startedAt > START_UP_MS) {
-            worker.speed.record(doneMs, tookMs, now);
+        if (percent > 0 || now - member.startedAt > STARTUP_MS) {
+            worker.speed.record(completedMs, elapsedMs, now);
         }
-        member.percent = percent;
-        member.reportedAt = now;
+        member.progressPercent = percent;
+        member.progressAt = now;
     }
 
     /** Ends members that a worker's lists should hold and do not. */
-    #settleMissing(
+    #resolveMissing(
         worker: WorkerState,
-        order: LookOrder,
+        order: PollOrder,
         sentAt: number,
-        answer: Extract<LookAnswer, { type: "state" }>,
+        answer: Extract<PollAnswer, { type: "state" }>,
     ): void {
         if (answer.ended.length >= MAX_ENDS_LISTED) {
             return;
@@ -216,9 +216,10 @@
             if (member.state === "planned" || listed.has(`${member.name}#${member.attempt}`)) {
                 continue;
             }
-            const isFenced = member.fence < order.fence && member.settledAt === undefined;
-            const isSettled = member.settledAt !== undefined && member.settledAt < sentAt;
-            if (isFenced || isSettled) {
+            const isFenced = member.fence < order.fence && member.startResolvedAt === undefined;
+            const isResolved =
+                member.startResolvedAt !== undefined && member.startResolvedAt < sentAt;
+            if (isFenced || isResolved) {
                 this.#attempts.endMember(member, "void", "");
             }
         }
--- a/dispatch/capacity_test.ts
+++ b/dispatch/capacity_test.ts
@@ -3,7 +3,7 @@
 import type { Resources, WorkerId } from "../job/mod.ts";
 import { createRandom } from "../tools/seeded_random.ts";
 import { buildJobIds, buildSpec, buildWorkerReport, FloorFixture } from "./_fixtures.ts";
-import { mergeRoom } from "./room_reports.ts";
+import { mergeCapacity } from "./reported_capacity.ts";
 
 const JOB = "00000000000000d1";
 const FULL: Resources = { cpu: 16_000, memoryMb: 32_000, gpu: 0 };
@@ -32,14 +32,14 @@
 }
 
 test("a smaller room counts at once, a larger one when two heartbeats in a row tell it", (t) => {
-    t.deepEqual(mergeRoom(FULL, SMALL, undefined), { room: SMALL, unconfirmed: undefined });
-    t.deepEqual(mergeRoom(SMALL, FULL, undefined), { room: SMALL, unconfirmed: FULL });
-    t.deepEqual(mergeRoom(SMALL, FULL, FULL), { room: FULL, unconfirmed: undefined });
+    t.deepEqual(mergeCapacity(FULL, SMALL, undefined), { capacity: SMALL, unconfirmed: undefined });
+    t.deepEqual(mergeCapacity(SMALL, FULL, undefined), { capacity: SMALL, unconfirmed: FULL });
+    t.deepEqual(mergeCapacity(SMALL, FULL, FULL), { capacity: FULL, unconfirmed: undefined });
     const larger = { ...FULL, cpu: 99_000 };
-    t.deepEqual(mergeRoom(SMALL, larger, FULL), { room: SMALL, unconfirmed: larger });
-    t.deepEqual(mergeRoom(SMALL, SMALL, FULL), { room: SMALL, unconfirmed: undefined });
+    t.deepEqual(mergeCapacity(SMALL, larger, FULL), { capacity: SMALL, unconfirmed: larger });
+    t.deepEqual(mergeCapacity(SMALL, SMALL, FULL), { capacity: SMALL, unconfirmed: undefined });
     const mixed = { ...SMALL, cpu: 99_000, memoryMb: 10 };
-    t.deepEqual(mergeRoom(SMALL, mixed, undefined).room, { ...SMALL, memoryMb: 10 });
+    t.deepEqual(mergeCapacity(SMALL, mixed, undefined).capacity, { ...SMALL, memoryMb: 10 });
 });
 
 // Guards against placing by the room that a worker told when it joined.
@@ -179,7 +179,7 @@
     floor.dropHeartbeats("w1" as WorkerId);
     floor.setCapacity("w1" as WorkerId, SMALL);
     for (let i = 0; i < 8; i++) {
-        floor.dispatcher.handleSign("w1" as WorkerId, 100 + i, floor.now, SMALL);
+        floor.dispatcher.handleUnchangedHeartbeat("w1" as WorkerId, 100 + i, floor.now, SMALL);
         submitFlood(floor, 10, 100);
     }
     t.deepEqual(floor.violations, []);
--- a/dispatch/crash_loop.ts
+++ b/dispatch/crash_loop.ts
@@ -15,17 +15,17 @@
  */
 
 import type { Crash, CrashedAttempt } from "../job/mod.ts";
-import { createUnitKey } from "./step_board.ts";
+import { createUnitKey } from "./ready_steps.ts";
 import type { MemberRun } from "./types.ts";
 
 /** A run that was seen at work so long after its start has outlasted it, in ms. */
-export const OUTLASTED_MS = 500;
+export const STARTUP_CRASH_WINDOW_MS = 500;
 /** Crashes that nothing else explains after which a unit is given up. */
 const MAX_SOLE_CRASHES = 2;
 /** Crashes of any evidence after which a unit is given up. */
 const MAX_CRASHES = 4;
 /** From so many crashes on a unit runs apart from other starts for its whole run, not only at its start. */
-const MANY_CRASHES = 3;
+const FULL_ISOLATION_CRASHES = 3;
 
 /**
  * Tells whether a run has outlasted its start.
@@ -33,8 +33,8 @@
  * @param member The run.
  * @returns True once its worker listed it a while after its start.
  */
-export function hasOutlastedStart(member: Pick<MemberRun, "lastedMs">): boolean {
-    return member.lastedMs >= OUTLASTED_MS;
+export function isPastStartup(member: Pick<MemberRun, "observedRunMs">): boolean {
+    return member.observedRunMs >= STARTUP_CRASH_WINDOW_MS;
 }
 
 /**
@@ -43,18 +43,20 @@
  * @param members All runs on the worker.
  * @returns One entry a unit that an order may have started.
  */
-export function computeEvidence(members: readonly MemberRun[]): CrashedAttempt[] {
-    const sent = members.filter((member) => member.tries > 0);
-    const young = new Set(
-        sent
-            .filter((member) => !hasOutlastedStart(member))
-            .map((member) => createUnitKey(member.unit)),
+export function computeCrashEvidence(members: readonly MemberRun[]): CrashedAttempt[] {
+    const sent = members.filter((member) => member.startSends > 0);
+    const startingUnits = new Set(
+        sent.filter((member) => !isPastStartup(member)).map((member) => createUnitKey(member.unit)),
     );
     const units = new Map<string, CrashedAttempt>();
     for (const { unit, attempt } of sent) {
         const key = createUnitKey(unit);
-        const strongest = young.size === 1 ? "sole" : "early";
-        units.set(key, { unit, attempt, evidence: young.has(key) ? strongest : "late" });
+        const startupEvidence = startingUnits.size === 1 ? "sole" : "early";
+        units.set(key, {
+            unit,
+            attempt,
+            evidence: startingUnits.has(key) ? startupEvidence : "late",
+        });
     }
     return [...units.values()];
 }
@@ -77,9 +79,9 @@
  * @param crashes Its history.
  * @returns Ms from its start; 0 for a unit that is not under suspicion.
  */
-export function computeApartMs(crashes: readonly Crash[]): number {
-    if (crashes.length >= MANY_CRASHES) {
+export function computeIsolationMs(crashes: readonly Crash[]): number {
+    if (crashes.length >= FULL_ISOLATION_CRASHES) {
         return Number.POSITIVE_INFINITY;
     }
-    return crashes.some(({ evidence }) => evidence !== "late") ? OUTLASTED_MS : 0;
+    return crashes.some(({ evidence }) => evidence !== "late") ? STARTUP_CRASH_WINDOW_MS : 0;
 }
--- a/dispatch/crash_loop_test.ts
+++ b/dispatch/crash_loop_test.ts
@@ -9,7 +9,12 @@
     FloorFixture,
     type FloorOptions,
 } from "./_fixtures.ts";
-import { computeApartMs, computeEvidence, isCrashLoop, OUTLASTED_MS } from "./crash_loop.ts";
+import {
+    computeIsolationMs,
+    computeCrashEvidence,
+    isCrashLoop,
+    STARTUP_CRASH_WINDOW_MS,
+} from "./crash_loop.ts";
 import type { MemberRun } from "./types.ts";
 
 const JOB = "00000000000000c1";
@@ -34,7 +39,7 @@
 
 function buildRun(job: string, run: Partial<MemberRun> = {}): MemberRun {
     const unit = { job: job as JobId, occurrence: 0, step: 0, unit: 0 };
-    return { unit, attempt: 1, tries: 1, lastedMs: 0, ...run } as MemberRun;
+    return { unit, attempt: 1, startSends: 1, observedRunMs: 0, ...run } as MemberRun;
 }
 
 test("a unit is given up after two crashes that nothing else explains, or four of any kind", (t) => {
@@ -47,18 +52,18 @@
 });
 
 test("a unit starts apart after an early crash, and runs apart after three of any kind", (t) => {
-    t.is(computeApartMs([]), 0);
-    t.is(computeApartMs(buildHistory("late")), 0);
-    t.is(computeApartMs(buildHistory("early")), OUTLASTED_MS);
-    t.is(computeApartMs(buildHistory("late", "late", "late")), Number.POSITIVE_INFINITY);
+    t.is(computeIsolationMs([]), 0);
+    t.is(computeIsolationMs(buildHistory("late")), 0);
+    t.is(computeIsolationMs(buildHistory("early")), STARTUP_CRASH_WINDOW_MS);
+    t.is(computeIsolationMs(buildHistory("late", "late", "late")), Number.POSITIVE_INFINITY);
 });
 
 test("of the runs on a crashed worker those that had outlasted their starts are least to blame", (t) => {
-    const old = buildRun("a", { lastedMs: 2_000 });
+    const old = buildRun("a", { observedRunMs: 2_000 });
     const young = buildRun("b");
-    const unsent = buildRun("c", { tries: 0 });
+    const unsent = buildRun("c", { startSends: 0 });
     const listEvidence = (...runs: MemberRun[]): string[] =>
-        computeEvidence(runs).map(({ unit, evidence }) => `${unit.job} ${evidence}`);
+        computeCrashEvidence(runs).map(({ unit, evidence }) => `${unit.job} ${evidence}`);
     t.deepEqual(listEvidence(old, young, unsent), ["a late", "b sole"]);
     t.deepEqual(listEvidence(young, buildRun("d"), old), ["b early", "d early", "a late"]);
     t.deepEqual(listEvidence(young, { ...young, index: 1 }), ["b sole"]);
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -26,23 +26,23 @@
     WorkerReport,
 } from "../job/mod.ts";
 import { checkFeasible } from "./admission.ts";
-import { isContradiction } from "./contradiction.ts";
+import { isConflictingHeartbeat } from "./heartbeat_conflict.ts";
 import { Attempts } from "./_attempts.ts";
 import { DispatchContext, type DispatchContextOptions } from "./_context.ts";
 import { Evacuator } from "./_evacuator.ts";
-import { Looks } from "./_looks.ts";
+import { WorkerPoller } from "./_worker_poller.ts";
 import { Orders } from "./_orders.ts";
-import { hasOverdueTask } from "./overdue.ts";
+import { hasOverdueTask } from "./overdue_tasks.ts";
 import { StepPlacer } from "./_placer.ts";
-import { isSameRoom, mergeRoom } from "./room_reports.ts";
-import { WorkerLosses } from "./_worker_losses.ts";
+import { isSameResources, mergeCapacity } from "./reported_capacity.ts";
+import { WorkerFailures } from "./_worker_failures.ts";
 import type {
     Admission,
     AdviceCall,
     Heartbeat,
     LaneId,
-    LookAnswer,
-    LookOrder,
+    PollAnswer,
+    PollOrder,
     MemberRun,
     OrderAnswer,
     Outcome,
@@ -50,7 +50,7 @@
     StartOrder,
     StopOrder,
 } from "./types.ts";
-import type { WorkerState } from "./worker_book.ts";
+import type { WorkerState } from "./worker_registry.ts";
 
 export { DEFAULT_DISPATCH_LIMITS } from "./_context.ts";
 
@@ -66,13 +66,13 @@
 }
 
 /** A stop without an end in the worker's lists is sent again after this, in ms. */
-const STOP_AGAIN_MS = 400;
+const STOP_RETRY_MS = 400;
 /** Time between two sweeps that forget ended jobs, in ms. */
-const FORGET_EVERY_MS = 5_000;
+const JOB_CLEANUP_INTERVAL_MS = 5_000;
 /** A worker not heard from for this long, and with nothing running, is forgotten, in ms. */
-const FORGET_WORKER_MS = 120_000;
+const IDLE_WORKER_RETENTION_MS = 120_000;
 /** Time between two records of the heartbeats since, in ms: a third of the time between two of a worker. */
-const RECORD_HEARD_EVERY_MS = 500;
+const CLOCK_RECORD_INTERVAL_MS = 500;
 /** Slowest clock against ours, as in {@link WorkerClock}. */
 const INHERITED_LEASE_FACTOR = 1 / 0.98;
 
@@ -80,15 +80,15 @@
 export class Dispatcher {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
-    readonly #losses: WorkerLosses;
+    readonly #failures: WorkerFailures;
     readonly #orders: Orders;
-    readonly #looks: Looks;
+    readonly #poller: WorkerPoller;
     readonly #placer: StepPlacer;
     readonly #evacuator: Evacuator;
     /** Heartbeats that are not on record yet: what the workers' clocks showed. */
-    readonly #heard = new Map<WorkerId, number>();
-    #heardRecordedAt = Number.NEGATIVE_INFINITY;
-    #forgottenAt: number;
+    readonly #unrecordedClocks = new Map<WorkerId, number>();
+    #clocksRecordedAt = Number.NEGATIVE_INFINITY;
+    #cleanedUpAt: number;
     #tickedAt = Number.NEGATIVE_INFINITY;
 
     /**
@@ -99,15 +99,15 @@
     constructor(options: DispatcherOptions) {
         this.#context = new DispatchContext(options);
         this.#attempts = new Attempts(this.#context);
-        this.#losses = new WorkerLosses(this.#context, this.#attempts);
-        this.#orders = new Orders(this.#context, this.#attempts, this.#losses);
-        this.#looks = new Looks(this.#context, this.#attempts, this.#losses);
+        this.#failures = new WorkerFailures(this.#context, this.#attempts);
+        this.#orders = new Orders(this.#context, this.#attempts, this.#failures);
+        this.#poller = new WorkerPoller(this.#context, this.#attempts, this.#failures);
         this.#placer = new StepPlacer(this.#context, this.#attempts);
         this.#evacuator = new Evacuator(this.#context, this.#attempts);
-        this.#forgottenAt = this.#context.clock.getNow();
+        this.#cleanedUpAt = this.#context.clock.getNow();
         this.#adoptWorkers();
         this.#attempts.adoptJobs();
-        this.#lookAtAll();
+        this.#pollAll();
     }
 
     /**
@@ -202,7 +202,7 @@
             before: current,
             queues: configuration.queues.length,
         });
-        this.#context.board.forgetTries();
+        this.#context.board.resetMatches();
         this.#context.isDirty = true;
         return true;
     }
@@ -220,19 +220,19 @@
         const now = this.#context.clock.getNow();
         const known = this.#context.ledger.workers.get(record.id);
         const state = this.#context.book.findWorker(record.id);
-        if (state !== undefined && sequence <= state.heartbeat) {
+        if (state !== undefined && sequence <= state.lastSequence) {
             return;
         }
         // A worker that said it leaves does not come back under the same id; a late heartbeat
         // from before that must not bring new work to it.
         const isDraining = record.isDraining || (known?.isDraining ?? false);
-        const { room, unconfirmed } = mergeRoom(
+        const { capacity: confirmed, unconfirmed } = mergeCapacity(
             known?.capacity ?? record.capacity,
             record.capacity,
-            state?.unconfirmedRoom,
+            state?.unconfirmedCapacity,
         );
-        const next = { ...record, capacity: room, isDraining };
-        if (state !== undefined && this.#isContradiction(state, next, sequence)) {
+        const updated = { ...record, capacity: confirmed, isDraining };
+        if (state !== undefined && this.#isConflicting(state, updated, sequence)) {
             this.#context.recordDecision("failure", "heartbeat contradicts its worker", {
                 worker: record.id,
                 address: record.address,
@@ -241,8 +241,8 @@
             });
             return;
         }
-        if (known === undefined || !isSameReport(known, next)) {
-            this.#context.record({ type: "workerSeen", worker: next });
+        if (known === undefined || !isSameReport(known, updated)) {
+            this.#context.record({ type: "workerSeen", worker: updated });
             this.#context.recordDecision(
                 "decision",
                 known === undefined ? "worker joined" : "worker changed",
@@ -250,25 +250,25 @@
                     worker: record.id,
                     address: record.address,
                     draining: isDraining,
-                    capacity: room,
+                    capacity: confirmed,
                 },
             );
-            this.#checkAddress(next);
+            this.#checkAddress(updated);
         }
-        const durable = this.#context.ledger.workers.get(record.id);
-        if (durable === undefined) {
+        const recorded = this.#context.ledger.workers.get(record.id);
+        if (recorded === undefined) {
             return;
         }
-        const hadRoom = state?.record.capacity;
-        const worker = this.#context.book.ensureWorker(durable, now);
+        const previousCapacity = state?.record.capacity;
+        const worker = this.#context.book.ensureWorker(recorded, now);
         const wasUsable = this.#context.book.isUsable(worker, now);
-        worker.heartbeat = sequence;
-        worker.heardAt = now;
-        worker.report = { arrivedAt: now, clockMs };
+        worker.lastSequence = sequence;
+        worker.lastContactAt = now;
+        worker.lastReport = { arrivedAt: now, clockMs };
         if (clockMs !== undefined) {
-            this.#heard.set(record.id, clockMs);
+            this.#unrecordedClocks.set(record.id, clockMs);
         }
-        worker.unconfirmedRoom = unconfirmed;
+        worker.unconfirmedCapacity = unconfirmed;
         worker.leavesAt = leavesInMs === undefined ? worker.leavesAt : now + leavesInMs;
         if (worker.isSuspect) {
             // It lives, but orders did not reach it; only an answered look brings work back.
@@ -277,8 +277,9 @@
         if (clockMs !== undefined) {
             worker.clock.record(clockMs, now);
         }
-        const hasChangedRoom = hadRoom !== undefined && !isSameRoom(hadRoom, room);
-        if (!wasUsable || hasChangedRoom) {
+        const hasCapacityChange =
+            previousCapacity !== undefined && !isSameResources(previousCapacity, confirmed);
+        if (!wasUsable || hasCapacityChange) {
             this.#context.recordRoom(worker);
         }
     }
@@ -291,7 +292,7 @@
      * @param clockMs The worker's clock when it was sent.
      * @param capacity The room that it told: the member that took it may know less than this leader.
      */
-    handleSign(
+    handleUnchangedHeartbeat(
         id: WorkerId,
         sequence: number,
         clockMs: number | undefined,
@@ -311,7 +312,7 @@
      */
     handleLeave(id: WorkerId): void {
         if (this.#context.book.findWorker(id) !== undefined) {
-            this.#losses.removeWorker(id, "left");
+            this.#failures.removeWorker(id, "left");
         }
     }
 
@@ -332,15 +333,15 @@
      */
     tick(mayPlace = true): void {
         const now = this.#context.clock.getNow();
-        this.#context.isDirty = this.#context.board.openDue() || this.#context.isDirty;
+        this.#context.isDirty = this.#context.board.openDueOccurrences() || this.#context.isDirty;
         for (const worker of this.#context.book.workers) {
             this.#tickWorker(worker, now);
         }
         this.#tickedAt = now;
-        this.#recordHeard(now);
-        if (now - this.#forgottenAt >= FORGET_EVERY_MS) {
-            this.#forgottenAt = now;
-            this.#forgetEnded();
+        this.#recordClocks(now);
+        if (now - this.#cleanedUpAt >= JOB_CLEANUP_INTERVAL_MS) {
+            this.#cleanedUpAt = now;
+            this.#removeEndedJobs();
         }
         this.#context.isDirty = true;
         if (mayPlace) {
@@ -348,11 +349,11 @@
         }
     }
 
-    #isContradiction(state: WorkerState, next: WorkerReport, sequence: number): boolean {
+    #isConflicting(state: WorkerState, report: WorkerReport, sequence: number): boolean {
         const pools = this.#context.ledger.configuration?.pools ?? [];
-        return isContradiction(state, next, {
+        return isConflictingHeartbeat(state, report, {
             sequence,
-            isPoolNamed: (pool) => pools.some(({ name }) => name === pool),
+            isKnownPool: (pool) => pools.some(({ name }) => name === pool),
         });
     }
 
@@ -364,12 +365,12 @@
                 now + this.#context.limits.leaseMs * INHERITED_LEASE_FACTOR;
             worker.isSuspect = true;
             const clockMs = this.#context.ledger.lastReportClocksMs.get(record.id);
-            worker.report = { arrivedAt: Number.NEGATIVE_INFINITY, clockMs };
+            worker.lastReport = { arrivedAt: Number.NEGATIVE_INFINITY, clockMs };
         }
     }
 
     /** Looks at every worker, those first on which jobs wait. */
-    #lookAtAll(): void {
+    #pollAll(): void {
         const workers = [...this.#context.book.workers];
         workers.sort((a, b) => b.members.size - a.members.size);
         workers.forEach(({ record }) => this.#context.emit({ type: "look", worker: record.id }));
@@ -387,15 +388,15 @@
     #tickWorker(worker: WorkerState, now: number): void {
         const sent = [...worker.members.values()].filter((member) => member.state !== "planned");
         if (sent.length > 0 && this.#context.book.isLeaseOver(worker, now)) {
-            this.#losses.expireLease(worker, sent);
+            this.#failures.expireLease(worker, sent);
         }
         for (const member of worker.members.values()) {
-            if (member.state === "stopping" && now - member.stopSentAt > STOP_AGAIN_MS) {
+            if (member.state === "stopping" && now - member.stopSentAt > STOP_RETRY_MS) {
                 this.#context.emit({ type: "stop", member });
             }
         }
         if (hasOverdueTask(worker, now)) {
-            worker.extraLookAt = now;
+            worker.extraPollAt = now;
             this.#context.emit({ type: "look", worker: worker.record.id });
         }
         this.#evacuator.drainWorker(worker, now);
@@ -403,23 +404,30 @@
             this.#context.recordRoom(worker);
         }
         const isIdle = worker.members.size === 0;
-        if (isIdle && now - worker.heardAt > FORGET_WORKER_MS && Number.isFinite(worker.heardAt)) {
-            this.#losses.removeWorker(worker.record.id, "silent");
+        if (
+            isIdle &&
+            now - worker.lastContactAt > IDLE_WORKER_RETENTION_MS &&
+            Number.isFinite(worker.lastContactAt)
+        ) {
+            this.#failures.removeWorker(worker.record.id, "silent");
         }
     }
 
     /** Without it a new leader would give out no work until each worker's next heartbeat. */
-    #recordHeard(now: number): void {
-        if (this.#heard.size === 0 || now - this.#heardRecordedAt < RECORD_HEARD_EVERY_MS) {
+    #recordClocks(now: number): void {
+        if (
+            this.#unrecordedClocks.size === 0 ||
+            now - this.#clocksRecordedAt < CLOCK_RECORD_INTERVAL_MS
+        ) {
             return;
         }
-        this.#heardRecordedAt = now;
-        this.#context.record({ type: "workersHeard", reports: [...this.#heard] });
-        this.#heard.clear();
+        this.#clocksRecordedAt = now;
+        this.#context.record({ type: "workersHeard", reports: [...this.#unrecordedClocks] });
+        this.#unrecordedClocks.clear();
     }
 
-    #forgetEnded(): void {
-        const before = this.#context.clock.getWall() - this.#context.limits.retentionMs;
+    #removeEndedJobs(): void {
+        const before = this.#context.clock.getWallTime() - this.#context.limits.retentionMs;
         for (const job of this.#context.ledger.jobs.values()) {
             if (job.endedAt !== undefined && job.endedAt < before && job.occurrences.size === 0) {
                 this.#context.record({ type: "jobsForgotten", before });
@@ -459,18 +467,18 @@
     }
 
     /** See {@link Orders.prepareLook}. */
-    prepareLook(id: WorkerId, mayWait: boolean): LookOrder | undefined {
-        return this.#looks.prepareLook(id, mayWait);
+    preparePoll(id: WorkerId, mayWait: boolean): PollOrder | undefined {
+        return this.#poller.preparePoll(id, mayWait);
     }
 
     /** See {@link Orders.handleLook}. */
-    handleLook(order: LookOrder, sentAt: number, answer: LookAnswer): void {
-        this.#looks.handleLook(order, sentAt, answer);
+    handlePollAnswer(order: PollOrder, sentAt: number, answer: PollAnswer): void {
+        this.#poller.handlePollAnswer(order, sentAt, answer);
     }
 
     /** See {@link Orders.confirmEnds}. */
     confirmEnds(id: WorkerId, cursor: number): void {
-        this.#looks.confirmEnds(id, cursor);
+        this.#poller.confirmEnds(id, cursor);
     }
 
     /** See {@link StepPlacer.handleAdvice}. */
--- a/dispatch/dispatcher_test.ts
+++ b/dispatch/dispatcher_test.ts
@@ -323,7 +323,7 @@
     const busy = new Set(floor.runs.map(({ worker }) => worker));
     const next = new Dispatcher({
         ledger: floor.durable.copy(),
-        clock: { getNow: () => floor.now, getWall: () => floor.now },
+        clock: { getNow: () => floor.now, getWallTime: () => floor.now },
         firstFence: 2_000_000,
     });
     const looks = next
--- a/dispatch/evacuation.ts
+++ b/dispatch/evacuation.ts
@@ -54,10 +54,10 @@
  * @returns Ms; 0 when it should be done already.
  */
 export function computeNeededMs(member: MemberRun, now: number): number {
-    const ranMs = member.reportedAt - member.startedAt;
+    const ranMs = member.progressAt - member.startedAt;
     const wholeMs =
-        member.percent >= MIN_TELLING_PERCENT && ranMs > 0
-            ? ranMs / (member.percent / 100)
+        member.progressPercent >= MIN_TELLING_PERCENT && ranMs > 0
+            ? ranMs / (member.progressPercent / 100)
             : member.estimateMs;
     return Math.max(0, wholeMs - (now - member.startedAt));
 }
--- a/dispatch/contradiction.ts
+++ b/dispatch/heartbeat_conflict.ts
@@ -6,7 +6,7 @@
  *
  * @example
  * ```ts
- * import { isContradiction } from "./contradiction.ts";
+ * import { isContradiction } from "./heartbeat_conflict.ts";
  * isContradiction(worker, record, { sequence: 7, isPoolNamed: () => true });
  * ```
  *
@@ -15,19 +15,19 @@
 
 import type { PoolName } from "../configuration/mod.ts";
 import type { WorkerReport } from "../job/mod.ts";
-import type { WorkerState } from "./worker_book.ts";
+import type { WorkerState } from "./worker_registry.ts";
 
 /**
  * A heartbeat's number is at most this far ahead of the one before: with a heartbeat every second or two that
  * is hours of lost ones, which the worker's silence would have ended long before.
  */
-const MAX_SEQUENCE_STEP = 10_000;
+const MAX_SEQUENCE_GAP = 10_000;
 
 /** What a heartbeat is held against, beside the worker's record. */
-export interface ContradictionContext {
+export interface HeartbeatConflictContext {
     readonly sequence: number;
     /** Whether the configuration names a pool. */
-    readonly isPoolNamed: (pool: PoolName) => boolean;
+    readonly isKnownPool: (pool: PoolName) => boolean;
 }
 
 /**
@@ -36,29 +36,29 @@
  * orders to it fail and nothing runs there.
  *
  * @param known The worker.
- * @param next What the heartbeat says.
+ * @param report What the heartbeat says.
  * @param context Its number, the pools.
  * @returns Whether it is to be dropped.
  */
-export function isContradiction(
-    known: Pick<WorkerState, "record" | "heartbeat" | "isSuspect" | "members">,
-    next: WorkerReport,
-    context: ContradictionContext,
+export function isConflictingHeartbeat(
+    known: Pick<WorkerState, "record" | "lastSequence" | "isSuspect" | "members">,
+    report: WorkerReport,
+    context: HeartbeatConflictContext,
 ): boolean {
     const isFarAhead =
-        known.heartbeat >= 0 && context.sequence - known.heartbeat > MAX_SEQUENCE_STEP;
+        known.lastSequence >= 0 && context.sequence - known.lastSequence > MAX_SEQUENCE_GAP;
     if (isFarAhead) {
         return true;
     }
     const { record } = known;
-    if (isSamePlace(record, next)) {
+    if (isSameEndpoint(record, report)) {
         return false;
     }
-    const isKnownDoubtful =
-        !context.isPoolNamed(record.pool) || (known.isSuspect && known.members.size === 0);
-    return !isKnownDoubtful || !context.isPoolNamed(next.pool);
+    const isReplaceable =
+        !context.isKnownPool(record.pool) || (known.isSuspect && known.members.size === 0);
+    return !isReplaceable || !context.isKnownPool(report.pool);
 }
 
-function isSamePlace(a: WorkerReport, b: WorkerReport): boolean {
+function isSameEndpoint(a: WorkerReport, b: WorkerReport): boolean {
     return a.address === b.address && a.pool === b.pool;
 }
--- a/dispatch/contradiction_test.ts
+++ b/dispatch/heartbeat_conflict_test.ts
@@ -9,37 +9,66 @@
     FloorFixture,
     POOL,
 } from "./_fixtures.ts";
-import { isContradiction } from "./contradiction.ts";
+import { isConflictingHeartbeat } from "./heartbeat_conflict.ts";
 
 const OTHER_POOL = "elsewhere" as PoolName;
 
-function buildKnown(
+function buildKnownWorker(
     change: Partial<WorkerReport> = {},
     isSuspect = false,
-): Parameters<typeof isContradiction>[0] {
-    return { record: buildWorkerRecord(change), heartbeat: 7, isSuspect, members: new Map() };
+): Parameters<typeof isConflictingHeartbeat>[0] {
+    return { record: buildWorkerRecord(change), lastSequence: 7, isSuspect, members: new Map() };
 }
 
-const context = { sequence: 8, isPoolNamed: (pool: PoolName) => pool === POOL };
+const context = { sequence: 8, isKnownPool: (pool: PoolName) => pool === POOL };
 
 test("a worker that drains, or changes its labels, contradicts nothing", (t) => {
-    t.false(isContradiction(buildKnown(), buildWorkerReport({ isDraining: true }), context));
-    t.false(isContradiction(buildKnown(), buildWorkerReport({ labels: ["b"] }), context));
+    t.false(
+        isConflictingHeartbeat(
+            buildKnownWorker(),
+            buildWorkerReport({ isDraining: true }),
+            context,
+        ),
+    );
+    t.false(
+        isConflictingHeartbeat(buildKnownWorker(), buildWorkerReport({ labels: ["b"] }), context),
+    );
 });
 
 test("another address or pool under a live worker's id is not taken over", (t) => {
     for (const change of [{ address: "10.9.9.9:80" }, { pool: OTHER_POOL }]) {
-        t.true(isContradiction(buildKnown(), buildWorkerReport(change), context));
+        t.true(isConflictingHeartbeat(buildKnownWorker(), buildWorkerReport(change), context));
     }
-    t.true(isContradiction(buildKnown(), buildWorkerReport(), { ...context, sequence: 1e9 }));
+    t.true(
+        isConflictingHeartbeat(buildKnownWorker(), buildWorkerReport(), {
+            ...context,
+            sequence: 1e9,
+        }),
+    );
 });
 
 test("a false first record gives way to the worker's own", (t) => {
-    t.false(isContradiction(buildKnown({ pool: OTHER_POOL }), buildWorkerReport(), context));
     t.false(
-        isContradiction(buildKnown({ address: "10.9.9.9:80" }, true), buildWorkerReport(), context),
+        isConflictingHeartbeat(
+            buildKnownWorker({ pool: OTHER_POOL }),
+            buildWorkerReport(),
+            context,
+        ),
+    );
+    t.false(
+        isConflictingHeartbeat(
+            buildKnownWorker({ address: "10.9.9.9:80" }, true),
+            buildWorkerReport(),
+            context,
+        ),
+    );
+    t.true(
+        isConflictingHeartbeat(
+            buildKnownWorker({}, true),
+            buildWorkerReport({ pool: OTHER_POOL }),
+            context,
+        ),
     );
-    t.true(isContradiction(buildKnown({}, true), buildWorkerReport({ pool: OTHER_POOL }), context));
 });
 
 test("heartbeats of another writer neither lose a sound worker nor draw work away", (t) => {
--- a/dispatch/matching_test.ts
+++ b/dispatch/matching_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import type { WorkerId } from "../job/mod.ts";
 import { buildQueue, buildSpec, buildStep, FloorFixture, QUEUE } from "./_fixtures.ts";
-import { WorkerBook } from "./worker_book.ts";
+import { WorkerRegistry } from "./worker_registry.ts";
 
 /**
  * The pattern: hundreds of steps wait on a full floor, and tasks end hundreds of times a second. Steps are
@@ -31,20 +31,20 @@
 }
 
 test("only workers that got room since a version are listed, the newest first", (t) => {
-    const book = new WorkerBook({ firstFence: 1, leaseMs: 1_000, reportAgeMs: 3_500 });
+    const book = new WorkerRegistry({ firstFence: 1, leaseMs: 1_000, maxReportAgeMs: 3_500 });
     const [a, b, c] = ["a", "b", "c"].map((id) => book.ensureWorker(buildRecord(id), 0));
-    const before = book.roomVersion;
-    t.deepEqual(book.listChanged(before), []);
-    book.recordRoom(c!);
-    book.recordRoom(a!);
+    const before = book.capacityVersion;
+    t.deepEqual(book.listChangedSince(before), []);
+    book.recordCapacityGain(c!);
+    book.recordCapacityGain(a!);
     t.deepEqual(
-        book.listChanged(before).map((worker) => worker.record.id),
+        book.listChangedSince(before).map((worker) => worker.record.id),
         [a!.record.id, c!.record.id],
     );
     book.removeWorker(a!.record.id);
-    t.deepEqual(book.listChanged(before), [c]);
-    t.is(book.listChanged(0).length, 2);
-    t.true(book.listChanged(0).includes(b!));
+    t.deepEqual(book.listChangedSince(before), [c]);
+    t.is(book.listChangedSince(0).length, 2);
+    t.true(book.listChangedSince(0).includes(b!));
 });
 
 test("a waiting task starts as soon as one that filled its worker has ended", (t) => {
--- a/dispatch/overdue.ts
+++ b/dispatch/overdue_tasks.ts
@@ -6,7 +6,7 @@
  *
  * @example
  * ```ts
- * import { hasOverdueTask } from "./overdue.ts";
+ * import { hasOverdueTask } from "./overdue_tasks.ts";
  * if (hasOverdueTask(worker, now)) {
  *     context.emit({ type: "look", worker: worker.record.id });
  * }
@@ -16,14 +16,14 @@
  */
 
 import type { MemberRun } from "./types.ts";
-import type { WorkerState } from "./worker_book.ts";
+import type { WorkerState } from "./worker_registry.ts";
 
 /** An end is overdue this long after it was due, in ms: estimates are off, and ends take some ms to be seen. */
-const OVERDUE_MS = 150;
+const OVERDUE_GRACE_MS = 150;
 /** Pause between two such looks at one worker, in ms: a slow worker's tasks are all overdue. */
-const LOOK_AGAIN_MS = 400;
+const EXTRA_POLL_INTERVAL_MS = 400;
 /** From this progress on, in percent, it tells better than the caller's estimate when a task ends. */
-const MIN_PERCENT = 5;
+const MIN_PROGRESS_PERCENT = 5;
 
 /**
  * Tells whether a worker should be looked at because of an overdue task.
@@ -33,15 +33,15 @@
  * @returns True when a task was due a while ago, and no answer came since.
  */
 export function hasOverdueTask(
-    worker: Pick<WorkerState, "members" | "lookedAt" | "extraLookAt">,
+    worker: Pick<WorkerState, "members" | "pollAnsweredAt" | "extraPollAt">,
     now: number,
 ): boolean {
-    if (now - worker.extraLookAt < LOOK_AGAIN_MS) {
+    if (now - worker.extraPollAt < EXTRA_POLL_INTERVAL_MS) {
         return false;
     }
     for (const member of worker.members.values()) {
         const dueAt = computeDueAt(member);
-        if (now > dueAt + OVERDUE_MS && worker.lookedAt < dueAt) {
+        if (now > dueAt + OVERDUE_GRACE_MS && worker.pollAnsweredAt < dueAt) {
             return true;
         }
     }
@@ -53,8 +53,8 @@
     if (member.isPerpetual || member.state !== "running") {
         return Number.POSITIVE_INFINITY;
     }
-    const ranMs = member.reportedAt - member.startedAt;
-    return member.percent >= MIN_PERCENT && ranMs > 0
-        ? member.startedAt + (ranMs * 100) / member.percent
+    const ranMs = member.progressAt - member.startedAt;
+    return member.progressPercent >= MIN_PROGRESS_PERCENT && ranMs > 0
+        ? member.startedAt + (ranMs * 100) / member.progressPercent
         : member.startedAt + member.estimateMs;
 }
--- a/dispatch/overdue_test.ts
+++ b/dispatch/overdue_tasks_test.ts
@@ -11,8 +11,8 @@
         workers: 1,
         taskMs: 500,
         getFault: (kind): OrderFault => {
-            const isFirstLook = kind === "look" && floor.runs.length === 1;
-            return (isFirstLook ? faults.pop() : undefined) ?? { type: "none" };
+            const isFirstPoll = kind === "look" && floor.runs.length === 1;
+            return (isFirstPoll ? faults.pop() : undefined) ?? { type: "none" };
         },
     });
     floor.runFor(200);
@@ -26,17 +26,17 @@
     // The caller's job is done soon after the cut has healed, whenever that is. During the cut each look is lost;
     // the last of them, that left just before the end of the cut, is not waited for, and does not count
     // against the worker once a later one was answered.
-    for (let to = 4_000; to <= 6_400; to += 200) {
+    for (let healedAt = 4_000; healedAt <= 6_400; healedAt += 200) {
         const floor: FloorFixture = new FloorFixture({
             workers: 1,
             taskMs: 1_500,
             getFault: (): OrderFault =>
-                floor.now >= 1_000 && floor.now < to ? { type: "lost" } : { type: "none" },
+                floor.now >= 1_000 && floor.now < healedAt ? { type: "lost" } : { type: "none" },
         });
         floor.runFor(300);
         floor.submit(JOB, buildSpec({ count: 2, estimateMs: 1_500 }));
-        floor.runFor(to + 700 - 300);
-        t.is(floor.getState(JOB), "complete", `healed at ${to}`);
+        floor.runFor(healedAt + 700 - 300);
+        t.is(floor.getState(JOB), "complete", `healed at ${healedAt}`);
         t.deepEqual(floor.violations, []);
     }
 });
--- a/dispatch/ranking.ts
+++ b/dispatch/ranking.ts
@@ -14,7 +14,7 @@
 
 import type { QueueConfig } from "../configuration/mod.ts";
 import type { JobSpec } from "../job/mod.ts";
-import type { StepWork } from "./step_board.ts";
+import type { ReadyStep } from "./ready_steps.ts";
 
 /** Thirty million years in ms: a priority outweighs every time. */
 const RANK_PER_PRIORITY = 1e18;
@@ -37,7 +37,7 @@
  * @returns The rank; the smallest goes first.
  */
 export function rankStep(
-    step: Pick<StepWork, "job" | "step">,
+    step: Pick<ReadyStep, "job" | "step">,
     queue: Pick<QueueConfig, "priority" | "stretch" | "targetLatencyMs">,
     wall: number,
 ): number {
--- a/dispatch/step_board.ts
+++ b/dispatch/ready_steps.ts
@@ -3,7 +3,7 @@
  *
  * @example
  * ```ts
- * import { StepBoard } from "./step_board.ts";
+ * import { StepBoard } from "./ready_steps.ts";
  * const board = new StepBoard({ ledger, clock });
  * board.openJob(job);
  * const steps = board.listWaiting();
@@ -28,17 +28,17 @@
 /** What the advice service said about a step. */
 export interface StepAdvice {
     /** Workers named in some call; the answer about a worker never changes. */
-    readonly asked: Set<WorkerId>;
+    readonly askedWorkers: Set<WorkerId>;
     /** Workers that may run the step, with their newest ticket. */
-    readonly good: Map<WorkerId, { readonly ticket: string; readonly validUntil: number }>;
+    readonly admitted: Map<WorkerId, { readonly ticket: string; readonly validUntil: number }>;
     /** The calls under way or waiting. */
-    readonly calls: Set<number>;
+    readonly pendingCalls: Set<number>;
     /** No further call before this time. */
     retryAt: number;
 }
 
 /** A step whose turn has come. */
-export interface StepWork {
+export interface ReadyStep {
     readonly key: StepKey;
     readonly job: Job;
     readonly occurrence: number;
@@ -54,52 +54,52 @@
      * The room version at which its waiting units found no place; `undefined` when it is to be tried.
      * A backlog of hundreds of steps would otherwise be matched with every worker on every event.
      */
-    triedVersion: number | undefined;
+    matchedVersion: number | undefined;
     /** When it was last matched with every worker, in ms. */
-    triedAllAt: number;
+    matchedAllAt: number;
     /** Workers that it holds while its gang finds no room; empty for others. */
-    held: ReadonlyMap<WorkerId, number>;
+    reservedWorkers: ReadonlyMap<WorkerId, number>;
     /** When it last had others make way, in ms. */
-    clearedAt: number;
+    preemptedAt: number;
     /** Workers on which one of its units failed: another one is tried first. */
-    readonly failedOn: Set<WorkerId>;
+    readonly failedWorkers: Set<WorkerId>;
     /** When one of its units failed last, in ms. */
-    failedAt: number;
+    lastFailureAt: number;
     /** No start of it before this time, in ms: workers refused one as unreadable. */
     pausedUntil: number;
     /** Workers crashed under some of its units. */
     hasCrashes: boolean;
 }
 
-/** Options of {@link StepBoard}. */
-export interface StepBoardOptions {
+/** Options of {@link ReadySteps}. */
+export interface ReadyStepsOptions {
     readonly ledger: StateStore;
     readonly clock: DispatchClock;
 }
 
-interface Schedule {
+interface OccurrenceSchedule {
     readonly job: Job;
-    next: number;
+    nextOccurrence: number;
 }
 
 /** Ready steps by key, and occurrences that are not due yet. */
-export class StepBoard {
+export class ReadySteps {
     readonly #ledger: StateStore;
     readonly #clock: DispatchClock;
-    readonly #steps = new Map<StepKey, StepWork>();
+    readonly #steps = new Map<StepKey, ReadyStep>();
     readonly #byJob = new Map<JobId, Set<StepKey>>();
-    readonly #schedules = new Map<JobId, Schedule>();
+    readonly #schedules = new Map<JobId, OccurrenceSchedule>();
 
     /**
      * @param options The state, the clocks.
      */
-    constructor(options: StepBoardOptions) {
+    constructor(options: ReadyStepsOptions) {
         this.#ledger = options.ledger;
         this.#clock = options.clock;
     }
 
     /** Every ready step. */
-    get steps(): IterableIterator<StepWork> {
+    get steps(): IterableIterator<ReadyStep> {
         return this.#steps.values();
     }
 
@@ -119,8 +119,8 @@
         for (const number of job.occurrences.keys()) {
             this.#openOccurrence(job, number);
         }
-        this.#schedules.set(job.id, { job, next: 0 });
-        this.openDue();
+        this.#schedules.set(job.id, { job, nextOccurrence: 0 });
+        this.openDueOccurrences();
     }
 
     /**
@@ -128,21 +128,21 @@
      *
      * @returns Whether there were any.
      */
-    openDue(): boolean {
-        const wall = this.#clock.getWall();
+    openDueOccurrences(): boolean {
+        const wallTime = this.#clock.getWallTime();
         let hasOpened = false;
         for (const [id, schedule] of this.#schedules) {
             const { job } = schedule;
             const spec = job.spec;
-            while (spec !== undefined && schedule.next < countOccurrences(job)) {
-                if (spec.firstAtMs + schedule.next * spec.periodMs > wall) {
+            while (spec !== undefined && schedule.nextOccurrence < countOccurrences(job)) {
+                if (spec.firstAtMs + schedule.nextOccurrence * spec.periodMs > wallTime) {
                     break;
                 }
-                this.#openOccurrence(job, schedule.next);
-                schedule.next += 1;
+                this.#openOccurrence(job, schedule.nextOccurrence);
+                schedule.nextOccurrence += 1;
                 hasOpened = true;
             }
-            if (spec === undefined || schedule.next >= countOccurrences(job)) {
+            if (spec === undefined || schedule.nextOccurrence >= countOccurrences(job)) {
                 this.#schedules.delete(id);
             }
         }
@@ -155,7 +155,7 @@
      * @param key The step.
      * @returns The step, or `undefined` when it is not ready or has ended.
      */
-    findStep(key: StepKey): StepWork | undefined {
+    findStep(key: StepKey): ReadyStep | undefined {
         return this.#steps.get(key);
     }
 
@@ -168,7 +168,7 @@
         const step = this.#steps.get(createStepKey(ref));
         if (step !== undefined) {
             step.waiting.add(ref.unit);
-            step.triedVersion = undefined;
+            step.matchedVersion = undefined;
         }
     }
 
@@ -181,7 +181,7 @@
         const step = this.#steps.get(createStepKey(ref));
         if (step !== undefined) {
             step.hasCrashes = true;
-            step.triedVersion = undefined;
+            step.matchedVersion = undefined;
         }
     }
 
@@ -191,7 +191,7 @@
      * @param ref A unit that is done.
      * @returns The keys of steps that ended.
      */
-    updateAfterDone(ref: UnitRef): StepKey[] {
+    handleUnitDone(ref: UnitRef): StepKey[] {
         const job = this.#ledger.jobs.get(ref.job);
         const occurrence = job?.occurrences.get(ref.occurrence);
         if (job === undefined || occurrence === undefined || !isStepDone(occurrence, ref.step)) {
@@ -219,9 +219,9 @@
     }
 
     /** Has every step matched with all workers again: the queues changed. */
-    forgetTries(): void {
+    resetMatches(): void {
         for (const step of this.#steps.values()) {
-            step.triedVersion = undefined;
+            step.matchedVersion = undefined;
         }
     }
 
@@ -240,7 +240,7 @@
         });
     }
 
-    #openStep(step: Pick<StepWork, "key" | "job" | "occurrence" | "step" | "spec">): void {
+    #openStep(step: Pick<ReadyStep, "key" | "job" | "occurrence" | "step" | "spec">): void {
         const units = step.job.occurrences.get(step.occurrence)?.steps[step.step] ?? [];
         const waiting = new Set<number>();
         units.forEach((unit, i) => {
@@ -252,14 +252,19 @@
             ...step,
             queue: step.job.queue,
             waiting,
-            readyAt: this.#clock.getWall(),
-            advice: { asked: new Set(), good: new Map(), calls: new Set(), retryAt: 0 },
-            triedVersion: undefined,
-            triedAllAt: Number.NEGATIVE_INFINITY,
-            held: new Map(),
-            clearedAt: Number.NEGATIVE_INFINITY,
-            failedOn: new Set(),
-            failedAt: Number.NEGATIVE_INFINITY,
+            readyAt: this.#clock.getWallTime(),
+            advice: {
+                askedWorkers: new Set(),
+                admitted: new Map(),
+                pendingCalls: new Set(),
+                retryAt: 0,
+            },
+            matchedVersion: undefined,
+            matchedAllAt: Number.NEGATIVE_INFINITY,
+            reservedWorkers: new Map(),
+            preemptedAt: Number.NEGATIVE_INFINITY,
+            failedWorkers: new Set(),
+            lastFailureAt: Number.NEGATIVE_INFINITY,
             pausedUntil: Number.NEGATIVE_INFINITY,
             hasCrashes: units.some((unit) => unit.crashes.length > 0),
         });
@@ -296,6 +301,6 @@
  * @param unit The unit's number.
  * @returns The unit.
  */
-export function createUnitRef(step: StepWork, unit: number): UnitRef {
+export function createUnitRef(step: ReadyStep, unit: number): UnitRef {
     return { job: step.job.id, occurrence: step.occurrence, step: step.step, unit };
 }
--- a/dispatch/room_reports.ts
+++ b/dispatch/reported_capacity.ts
@@ -6,7 +6,7 @@
  *
  * @example
  * ```ts
- * import { mergeRoom } from "./room_reports.ts";
+ * import { mergeRoom } from "./reported_capacity.ts";
  * const { room, unconfirmed } = mergeRoom(known, told, worker.unconfirmedRoom);
  * ```
  *
@@ -16,8 +16,8 @@
 import type { Resources } from "../job/mod.ts";
 
 /** The room to place by, and a larger one that the next heartbeat may confirm. */
-export interface MergedRoom {
-    readonly room: Resources;
+export interface MergedCapacity {
+    readonly capacity: Resources;
     readonly unconfirmed: Resources | undefined;
 }
 
@@ -25,23 +25,23 @@
  * Weighs what a heartbeat tells against what is known.
  *
  * @param known The room that is placed by so far.
- * @param told The room that the heartbeat tells.
+ * @param reported The room that the heartbeat tells.
  * @param unconfirmed A larger room that the heartbeat before told.
  * @returns The room to place by from now on.
  */
-export function mergeRoom(
+export function mergeCapacity(
     known: Resources,
-    told: Resources,
+    reported: Resources,
     unconfirmed: Resources | undefined,
-): MergedRoom {
-    const smaller = computeLeast(known, told);
-    if (isSameRoom(smaller, told)) {
-        return { room: told, unconfirmed: undefined };
+): MergedCapacity {
+    const smaller = computeMinimum(known, reported);
+    if (isSameResources(smaller, reported)) {
+        return { capacity: reported, unconfirmed: undefined };
     }
-    if (unconfirmed !== undefined && isSameRoom(unconfirmed, told)) {
-        return { room: told, unconfirmed: undefined };
+    if (unconfirmed !== undefined && isSameResources(unconfirmed, reported)) {
+        return { capacity: reported, unconfirmed: undefined };
     }
-    return { room: smaller, unconfirmed: told };
+    return { capacity: smaller, unconfirmed: reported };
 }
 
 /**
@@ -51,11 +51,11 @@
  * @param b The other.
  * @returns True when nothing differs.
  */
-export function isSameRoom(a: Resources, b: Resources): boolean {
+export function isSameResources(a: Resources, b: Resources): boolean {
     return a.cpu === b.cpu && a.memoryMb === b.memoryMb && a.gpu === b.gpu;
 }
 
-function computeLeast(a: Resources, b: Resources): Resources {
+function computeMinimum(a: Resources, b: Resources): Resources {
     return {
         cpu: Math.min(a.cpu, b.cpu),
         memoryMb: Math.min(a.memoryMb, b.memoryMb),
--- a/dispatch/reservation.ts
+++ b/dispatch/reservation.ts
@@ -77,19 +77,19 @@
             continue;
         }
         if (member.state === "stopping") {
-            missing -= member.room.cpu;
+            missing -= member.reserved.cpu;
         } else if (member.state === "running" && member.isMovable) {
             movable.push(member);
         }
     }
-    movable.sort((a, b) => b.room.cpu - a.room.cpu);
+    movable.sort((a, b) => b.reserved.cpu - a.reserved.cpu);
     const victims: MemberRun[] = [];
     for (const member of movable) {
         if (missing <= 0) {
             break;
         }
         victims.push(member);
-        missing -= member.room.cpu;
+        missing -= member.reserved.cpu;
     }
     return missing > 0 ? [] : victims;
 }
--- a/dispatch/types.ts
+++ b/dispatch/types.ts
@@ -32,7 +32,7 @@
     /** A clock that never goes back, in ms. */
     readonly getNow: () => number;
     /** Ms since 1970; never goes back between leaders. */
-    readonly getWall: () => number;
+    readonly getWallTime: () => number;
 }
 
 /**
@@ -50,27 +50,27 @@
     readonly attempt: number;
     readonly worker: WorkerId;
     /** What it holds of the worker until its end is known. */
-    readonly room: Resources;
+    readonly reserved: Resources;
     readonly priority: number;
     state: MemberState;
     /** Times that the start was sent. */
-    tries: number;
+    startSends: number;
     /** The fence of the newest start order; 0 for one that an earlier leader may have sent. */
     fence: number;
     /**
      * From this time on every answer to a look at the worker lists the member if it runs there
      * or ran there; `undefined` while an order may still be on its way.
      */
-    settledAt: number | undefined;
+    startResolvedAt: number | undefined;
     startedAt: number;
     /** How long it had run when its worker last listed it, in ms; 0 before. */
-    lastedMs: number;
+    observedRunMs: number;
     /** For how long it keeps other starts off its worker, in ms; 0 unless it is under suspicion of crashing it. */
-    readonly apartMs: number;
+    readonly isolationMs: number;
     /** Share of its work done, in percent, as the worker reports it. */
-    percent: number;
-    /** When {@link MemberRun.percent} was last reported. */
-    reportedAt: number;
+    progressPercent: number;
+    /** When {@link MemberRun.progressPercent} was last reported. */
+    progressAt: number;
     /** The caller's estimate of its duration, in ms. */
     readonly estimateMs: number;
     /** It can be stopped and resumes elsewhere from its checkpoint. */
@@ -118,7 +118,7 @@
 }
 
 /** A lease renewal that also asks what runs and what ended. */
-export interface LookOrder {
+export interface PollOrder {
     readonly worker: WorkerId;
     readonly address: string;
     readonly fence: number;
@@ -171,7 +171,7 @@
 }
 
 /** How a worker answered a look. */
-export type LookAnswer =
+export type PollAnswer =
     | {
           readonly type: "state";
           readonly clockMs: number;
@@ -247,7 +247,7 @@
     /** How long ended jobs are remembered, in ms. */
     readonly retentionMs: number;
     /** How long one look at a worker may wait for an end, in ms. */
-    readonly lookWaitMs: number;
+    readonly pollWaitMs: number;
     /** A worker whose last heartbeat is older gets no new work, in ms: its room may have shrunk since. */
-    readonly reportAgeMs: number;
+    readonly maxReportAgeMs: number;
 }
--- a/dispatch/worker_book.ts
+++ b/dispatch/worker_registry.ts
@@ -4,7 +4,7 @@
  *
  * @example
  * ```ts
- * import { WorkerBook } from "./worker_book.ts";
+ * import { WorkerBook } from "./worker_registry.ts";
  * const book = new WorkerBook({ firstFence: 7_000_000, leaseMs: 6_000 });
  * const worker = book.ensureWorker(record, now);
  * ```
@@ -21,22 +21,22 @@
  * A worker that was neither heard from nor answered for this long gets no new work, in ms: its
  * heartbeats come every 1.5 s, so two of them in a row are missing.
  */
-const SILENCE_MS = 4_000;
+const CONTACT_TIMEOUT_MS = 4_000;
 /** First pause for a worker that fails what it starts, in ms; it doubles with each failure more. */
-const FIRST_QUARANTINE_MS = 1_000;
+const MIN_QUARANTINE_MS = 1_000;
 /** Longest such pause, in ms: faults of this kind last seconds, so it is tried again soon. */
 const MAX_QUARANTINE_MS = 8_000;
 /** Failures in a row, of different units, that put a worker in quarantine. */
-const FAILURES_TO_QUARANTINE = 2;
+const QUARANTINE_THRESHOLD = 2;
 /** A failure makes a worker doubtful for as long as the longest pause, in ms, unless something is done there. */
-const DOUBT_MS = MAX_QUARANTINE_MS;
+const RECENT_FAILURE_MS = MAX_QUARANTINE_MS;
 /** After a crash the next incarnation at the address is held for prone to another one for this long, in ms. */
-const CRASH_PRONE_MS = 8_000;
+const RECENT_CRASH_MS = 8_000;
 /** Pause after a worker refused an order, in ms: about the time between two heartbeats. */
-const REFUSAL_PAUSE_MS = 1_500;
+const REFUSAL_BACKOFF_MS = 1_500;
 
 /** Room for nothing. */
-export const NO_ROOM: Resources = { cpu: 0, memoryMb: 0, gpu: 0 };
+export const NO_RESOURCES: Resources = { cpu: 0, memoryMb: 0, gpu: 0 };
 
 /** One worker as its leader sees it. */
 export interface WorkerState {
@@ -46,7 +46,7 @@
     /** The fence of the next order. */
     fence: number;
     /** The latest lease end that any order carried, on the worker's clock. */
-    leaseUntil: number;
+    leaseEndWorkerMs: number;
     /** When every lease of an earlier leader is over for certain, in ms of our clock. */
     inheritedLeaseEndsAt: number;
     readonly used: { cpu: number; memoryMb: number; gpu: number };
@@ -56,63 +56,63 @@
     /** The number up to which ends are durable here. */
     durableCursor: number;
     /** The number up to which the worker was told to forget ends. */
-    toldCursor: number;
-    heardAt: number;
+    acknowledgedCursor: number;
+    lastContactAt: number;
     /** Its newest heartbeat: when it arrived here, and what the worker's clock showed, if it told. */
-    report: { readonly arrivedAt: number; readonly clockMs: number | undefined };
+    lastReport: { readonly arrivedAt: number; readonly clockMs: number | undefined };
     /** A larger room than it is placed by, told by its newest heartbeat. */
-    unconfirmedRoom: Resources | undefined;
+    unconfirmedCapacity: Resources | undefined;
     /** When it last answered a look, in ms. */
-    lookedAt: number;
+    pollAnsweredAt: number;
     /** When it was last looked at for an overdue task, in ms. */
-    extraLookAt: number;
+    extraPollAt: number;
     /** It left an order or a look unanswered and has not answered since. */
     isSuspect: boolean;
     /** No new work before this time. */
     pausedUntil: number;
     /** Failures of different units since something was done there. */
-    failuresInRow: number;
+    consecutiveFailures: number;
     lastFailedUnit: string;
-    failedAt: number;
+    lastFailureAt: number;
     /** Since when its serving tasks are well below their targets; `undefined` while they are not. */
-    calmSince: number | undefined;
+    belowTargetSince: number | undefined;
     /** The newest heartbeat's number: late ones are told by it. */
-    heartbeat: number;
+    lastSequence: number;
     /** While it drains: when it may end at the earliest, in ms of our clock, if it told. */
     leavesAt: number | undefined;
-    /** {@link WorkerBook.roomVersion} when it last got room or became usable. */
-    roomVersion: number;
+    /** {@link WorkerRegistry.capacityVersion} when it last got room or became usable. */
+    capacityVersion: number;
 }
 
-/** Options of {@link WorkerBook}. */
-export interface WorkerBookOptions {
+/** Options of {@link WorkerRegistry}. */
+export interface WorkerRegistryOptions {
     /** Above every fence of earlier leaders. */
     readonly firstFence: number;
     /** How long one lease lasts, in ms. */
     readonly leaseMs: number;
     /** A worker whose last heartbeat is older gets no new work, in ms. */
-    readonly reportAgeMs: number;
+    readonly maxReportAgeMs: number;
 }
 
 /** All workers. */
-export class WorkerBook {
-    readonly #options: WorkerBookOptions;
+export class WorkerRegistry {
+    readonly #options: WorkerRegistryOptions;
     readonly #workers = new Map<WorkerId, WorkerState>();
     /** Every worker, the one that got room last at the end. */
-    readonly #byChange = new Set<WorkerState>();
+    readonly #byCapacityGain = new Set<WorkerState>();
     #newestFirst: readonly WorkerState[] | undefined;
     #nextFence: number;
     /** Runs that keep, or kept, other starts off their workers. */
-    readonly suspects = new Set<MemberRun>();
+    readonly isolatedRuns = new Set<MemberRun>();
     /** When a worker's crash became known, in ms, by its address. */
-    readonly #crashedAt = new Map<string, number>();
+    readonly #crashTimes = new Map<string, number>();
     /** Rises when a worker gets room or becomes usable: what did not fit before may fit now. */
-    roomVersion = 0;
+    capacityVersion = 0;
 
     /**
      * @param options The first fence, the lease's length.
      */
-    constructor(options: WorkerBookOptions) {
+    constructor(options: WorkerRegistryOptions) {
         this.#options = options;
         this.#nextFence = options.firstFence;
     }
@@ -150,30 +150,30 @@
             clock: new WorkerClock(),
             speed: new WorkerSpeed(),
             fence: this.#nextFence,
-            leaseUntil: Number.NEGATIVE_INFINITY,
+            leaseEndWorkerMs: Number.NEGATIVE_INFINITY,
             inheritedLeaseEndsAt: now,
             used: { cpu: 0, memoryMb: 0, gpu: 0 },
             members: new Map(),
             readCursor: 0,
             durableCursor: 0,
-            toldCursor: 0,
-            heardAt: Number.NEGATIVE_INFINITY,
-            report: { arrivedAt: Number.NEGATIVE_INFINITY, clockMs: undefined },
-            unconfirmedRoom: undefined,
-            lookedAt: Number.NEGATIVE_INFINITY,
-            extraLookAt: Number.NEGATIVE_INFINITY,
+            acknowledgedCursor: 0,
+            lastContactAt: Number.NEGATIVE_INFINITY,
+            lastReport: { arrivedAt: Number.NEGATIVE_INFINITY, clockMs: undefined },
+            unconfirmedCapacity: undefined,
+            pollAnsweredAt: Number.NEGATIVE_INFINITY,
+            extraPollAt: Number.NEGATIVE_INFINITY,
             isSuspect: false,
             pausedUntil: Number.NEGATIVE_INFINITY,
-            failuresInRow: 0,
+            consecutiveFailures: 0,
             lastFailedUnit: "",
-            failedAt: Number.NEGATIVE_INFINITY,
-            calmSince: undefined,
-            heartbeat: -1,
+            lastFailureAt: Number.NEGATIVE_INFINITY,
+            belowTargetSince: undefined,
+            lastSequence: -1,
             leavesAt: undefined,
-            roomVersion: 0,
+            capacityVersion: 0,
         };
         this.#workers.set(record.id, state);
-        this.recordRoom(state);
+        this.recordCapacityGain(state);
         return state;
     }
 
@@ -186,7 +186,7 @@
         const worker = this.#workers.get(id);
         if (worker !== undefined) {
             this.#workers.delete(id);
-            this.#byChange.delete(worker);
+            this.#byCapacityGain.delete(worker);
             this.#newestFirst = undefined;
         }
     }
@@ -199,7 +199,7 @@
      * @returns False without a fresh heartbeat: its room may have shrunk since.
      */
     hasFreshReport(worker: WorkerState, now: number): boolean {
-        return computeReportAge(worker, now) < this.#options.reportAgeMs;
+        return computeReportAgeMs(worker, now) < this.#options.maxReportAgeMs;
     }
 
     /**
@@ -209,12 +209,12 @@
      * @param now Our clock, in ms.
      */
     recordCrash(address: string, now: number): void {
-        for (const earlier of this.#crashedAt.keys()) {
-            if (!this.isCrashProne(earlier, now)) {
-                this.#crashedAt.delete(earlier);
+        for (const earlier of this.#crashTimes.keys()) {
+            if (!this.hasRecentCrash(earlier, now)) {
+                this.#crashTimes.delete(earlier);
             }
         }
-        this.#crashedAt.set(address, now);
+        this.#crashTimes.set(address, now);
     }
 
     /**
@@ -224,8 +224,8 @@
      * @param now Our clock, in ms.
      * @returns True for a while after a crash there.
      */
-    isCrashProne(address: string, now: number): boolean {
-        return now - (this.#crashedAt.get(address) ?? Number.NEGATIVE_INFINITY) < CRASH_PRONE_MS;
+    hasRecentCrash(address: string, now: number): boolean {
+        return now - (this.#crashTimes.get(address) ?? Number.NEGATIVE_INFINITY) < RECENT_CRASH_MS;
     }
 
     /**
@@ -233,11 +233,11 @@
      *
      * @param worker The worker.
      */
-    recordRoom(worker: WorkerState): void {
-        this.roomVersion += 1;
-        worker.roomVersion = this.roomVersion;
-        this.#byChange.delete(worker);
-        this.#byChange.add(worker);
+    recordCapacityGain(worker: WorkerState): void {
+        this.capacityVersion += 1;
+        worker.capacityVersion = this.capacityVersion;
+        this.#byCapacityGain.delete(worker);
+        this.#byCapacityGain.add(worker);
         this.#newestFirst = undefined;
     }
 
@@ -247,10 +247,10 @@
      * @param version The version.
      * @returns The workers, the last one first.
      */
-    listChanged(version: number): WorkerState[] {
+    listChangedSince(version: number): WorkerState[] {
         const changed: WorkerState[] = [];
-        for (const worker of this.#listByChange()) {
-            if (worker.roomVersion <= version) {
+        for (const worker of this.#listNewestFirst()) {
+            if (worker.capacityVersion <= version) {
                 break;
             }
             changed.push(worker);
@@ -259,8 +259,8 @@
     }
 
     /** Kept until a worker changes: a backlog of steps asks for it in one round of placing. */
-    #listByChange(): readonly WorkerState[] {
-        this.#newestFirst ??= [...this.#byChange].reverse();
+    #listNewestFirst(): readonly WorkerState[] {
+        this.#newestFirst ??= [...this.#byCapacityGain].reverse();
         return this.#newestFirst;
     }
 
@@ -286,12 +286,12 @@
             return;
         }
         worker.members.set(member.name, member);
-        if (member.apartMs > 0) {
-            this.suspects.add(member);
+        if (member.isolationMs > 0) {
+            this.isolatedRuns.add(member);
         }
-        worker.used.cpu += member.room.cpu;
-        worker.used.memoryMb += member.room.memoryMb;
-        worker.used.gpu += member.room.gpu;
+        worker.used.cpu += member.reserved.cpu;
+        worker.used.memoryMb += member.reserved.memoryMb;
+        worker.used.gpu += member.reserved.gpu;
     }
 
     /**
@@ -305,10 +305,10 @@
             return;
         }
         worker.members.delete(member.name);
-        this.suspects.delete(member);
-        worker.used.cpu -= member.room.cpu;
-        worker.used.memoryMb -= member.room.memoryMb;
-        worker.used.gpu -= member.room.gpu;
+        this.isolatedRuns.delete(member);
+        worker.used.cpu -= member.reserved.cpu;
+        worker.used.memoryMb -= member.reserved.memoryMb;
+        worker.used.gpu -= member.reserved.gpu;
     }
 
     /**
@@ -320,13 +320,13 @@
      * is unknown.
      */
     grantLease(worker: WorkerState, now: number): number | undefined {
-        const clock = worker.clock.computeEarliest(now);
-        if (clock === undefined) {
+        const workerClockMs = worker.clock.computeEarliest(now);
+        if (workerClockMs === undefined) {
             return undefined;
         }
-        const until = Math.floor(clock + this.#options.leaseMs);
-        worker.leaseUntil = Math.max(worker.leaseUntil, until);
-        return until;
+        const leaseEndMs = Math.floor(workerClockMs + this.#options.leaseMs);
+        worker.leaseEndWorkerMs = Math.max(worker.leaseEndWorkerMs, leaseEndMs);
+        return leaseEndMs;
     }
 
     /**
@@ -341,10 +341,13 @@
         if (now < worker.inheritedLeaseEndsAt) {
             return false;
         }
-        if (worker.leaseUntil === Number.NEGATIVE_INFINITY) {
+        if (worker.leaseEndWorkerMs === Number.NEGATIVE_INFINITY) {
             return true;
         }
-        return (worker.clock.computeEarliest(now) ?? Number.NEGATIVE_INFINITY) > worker.leaseUntil;
+        return (
+            (worker.clock.computeEarliest(now) ?? Number.NEGATIVE_INFINITY) >
+            worker.leaseEndWorkerMs
+        );
     }
 
     /**
@@ -355,7 +358,7 @@
      * @param now Our clock, in ms.
      */
     recordAnswer(worker: WorkerState, clockMs: number | undefined, now: number): void {
-        worker.heardAt = now;
+        worker.lastContactAt = now;
         worker.isSuspect = false;
         if (clockMs !== undefined) {
             worker.clock.record(clockMs, now);
@@ -367,10 +370,10 @@
      *
      * @param worker The worker.
      */
-    recordDone(worker: WorkerState): void {
-        worker.failuresInRow = 0;
+    recordSuccess(worker: WorkerState): void {
+        worker.consecutiveFailures = 0;
         worker.lastFailedUnit = "";
-        worker.failedAt = Number.NEGATIVE_INFINITY;
+        worker.lastFailureAt = Number.NEGATIVE_INFINITY;
     }
 
     /**
@@ -384,16 +387,16 @@
      * @param now Our clock, in ms.
      */
     recordFailure(worker: WorkerState, unit: string, now: number): void {
-        worker.failedAt = now;
+        worker.lastFailureAt = now;
         if (worker.lastFailedUnit === unit) {
             return;
         }
         worker.lastFailedUnit = unit;
-        worker.failuresInRow += 1;
-        const excess = worker.failuresInRow - FAILURES_TO_QUARANTINE;
+        worker.consecutiveFailures += 1;
+        const excess = worker.consecutiveFailures - QUARANTINE_THRESHOLD;
         if (excess >= 0) {
-            const pause = Math.min(MAX_QUARANTINE_MS, FIRST_QUARANTINE_MS * 2 ** excess);
-            worker.pausedUntil = Math.max(worker.pausedUntil, now + pause);
+            const pauseMs = Math.min(MAX_QUARANTINE_MS, MIN_QUARANTINE_MS * 2 ** excess);
+            worker.pausedUntil = Math.max(worker.pausedUntil, now + pauseMs);
         }
     }
 
@@ -404,8 +407,8 @@
      * @param now Our clock, in ms.
      * @returns True for a while after a failure, unless something was done there since.
      */
-    isDoubtful(worker: WorkerState, now: number): boolean {
-        return now - worker.failedAt < DOUBT_MS;
+    hasRecentFailure(worker: WorkerState, now: number): boolean {
+        return now - worker.lastFailureAt < RECENT_FAILURE_MS;
     }
 
     /**
@@ -416,7 +419,7 @@
      * @param now Our clock, in ms.
      */
     recordRefusal(worker: WorkerState, now: number): void {
-        worker.pausedUntil = Math.max(worker.pausedUntil, now + REFUSAL_PAUSE_MS);
+        worker.pausedUntil = Math.max(worker.pausedUntil, now + REFUSAL_BACKOFF_MS);
     }
 
     /**
@@ -431,7 +434,7 @@
             !worker.record.isDraining &&
             !worker.isSuspect &&
             now >= worker.pausedUntil &&
-            now - worker.heardAt < SILENCE_MS &&
+            now - worker.lastContactAt < CONTACT_TIMEOUT_MS &&
             this.hasFreshReport(worker, now) &&
             worker.clock.computeEarliest(now) !== undefined
         );
@@ -446,7 +449,7 @@
  * @param now Our clock, in ms.
  * @returns Ms since it was sent, at least.
  */
-function computeReportAge({ report, clock }: WorkerState, now: number): number {
+function computeReportAgeMs({ lastReport: report, clock }: WorkerState, now: number): number {
     const clockMs = clock.computeEarliest(now);
     return clockMs === undefined || report.clockMs === undefined
         ? now - report.arrivedAt
@@ -459,7 +462,7 @@
  * @param worker The worker.
  * @returns Its capacity less the room that members hold.
  */
-export function getFreeRoom(worker: WorkerState): Resources {
+export function getFreeResources(worker: WorkerState): Resources {
     const { capacity } = worker.record;
     return {
         cpu: capacity.cpu - worker.used.cpu,
@@ -475,6 +478,6 @@
  * @param needs What it takes.
  * @returns True when there is enough of everything.
  */
-export function hasRoomFor(free: Resources, needs: Resources): boolean {
+export function hasResourcesFor(free: Resources, needs: Resources): boolean {
     return free.cpu >= needs.cpu && free.memoryMb >= needs.memoryMb && free.gpu >= needs.gpu;
 }
--- a/dispatch/worker_speed.ts
+++ b/dispatch/worker_speed.ts
@@ -18,7 +18,7 @@
  * Time constant of the figure, in ms: estimates are off by half and more each way, so several
  * tasks must agree; slow spells last 5 s and more, so it must not take longer.
  */
-const WINDOW_MS = 1_500;
+const DECAY_MS = 1_500;
 /** Work observed before the figure counts, in ms of tasks' time. */
 const MIN_OBSERVED_MS = 1_000;
 /** Below this share of the estimated speed a worker counts as slow: twice the estimates' error. */
@@ -26,25 +26,25 @@
 /** Below this share its tasks stand still. */
 const STALLED_SPEED = 0.06;
 /** Without new progress reports the figure is forgotten after this, in ms: the worker is tried again. */
-const FORGET_MS = 4_000;
+const EXPIRY_MS = 4_000;
 
 /** A decayed sum of work done over time taken. */
 export class WorkerSpeed {
-    #doneMs = 0;
-    #tookMs = 0;
+    #completedMs = 0;
+    #elapsedMs = 0;
     #recordedAt = Number.NEGATIVE_INFINITY;
 
     /**
      * Records a task's progress.
      *
-     * @param doneMs Work done, in ms of its estimate.
-     * @param tookMs The time that it took, in ms.
+     * @param completedMs Work done, in ms of its estimate.
+     * @param elapsedMs The time that it took, in ms.
      * @param now Our clock, in ms.
      */
-    record(doneMs: number, tookMs: number, now: number): void {
-        const keep = Math.exp(-(now - this.#recordedAt) / WINDOW_MS);
-        this.#doneMs = this.#doneMs * keep + doneMs;
-        this.#tookMs = this.#tookMs * keep + tookMs;
+    record(completedMs: number, elapsedMs: number, now: number): void {
+        const decay = Math.exp(-(now - this.#recordedAt) / DECAY_MS);
+        this.#completedMs = this.#completedMs * decay + completedMs;
+        this.#elapsedMs = this.#elapsedMs * decay + elapsedMs;
         this.#recordedAt = now;
     }
 
@@ -54,11 +54,11 @@
      * @param now Our clock, in ms.
      * @returns 1 for the usual speed or when too little is known, 2 for slow, 3 for stalled.
      */
-    computeSlowness(now: number): number {
-        if (now - this.#recordedAt > FORGET_MS || this.#tookMs < MIN_OBSERVED_MS) {
+    computeSpeedRank(now: number): number {
+        if (now - this.#recordedAt > EXPIRY_MS || this.#elapsedMs < MIN_OBSERVED_MS) {
             return 1;
         }
-        const speed = this.#doneMs / this.#tookMs;
+        const speed = this.#completedMs / this.#elapsedMs;
         if (speed < STALLED_SPEED) {
             return 3;
         }
--- a/standin/task_worker.ts
+++ b/standin/task_worker.ts
@@ -17,8 +17,8 @@
 
 import type {
     EndReport,
-    LookAnswer,
-    LookOrder,
+    PollAnswer,
+    PollOrder,
     OrderAnswer,
     StartOrder,
     StopOrder,
@@ -173,7 +173,7 @@
     }
 
     /** Takes a look; it does not wait for an end. */
-    look(order: LookOrder): LookAnswer {
+    look(order: PollOrder): PollAnswer {
         this.advance();
         const refusal = this.#checkOrder(order.worker, order.fence);
         if (refusal?.type === "refused" || refusal?.type === "gone") {
