--- a/dispatch/_attempts.ts
+++ b/dispatch/_attempts.ts
@@ -1,6 +1,5 @@
 /**
- * Attempts under way: their members, what the end of one means for the others, for the unit and
- * for the job.
+ * Tracks running attempts and applies what the end of a member means for its gang, unit and job.
  *
  * @example
  * ```ts
@@ -27,9 +26,9 @@
 import type { MemberRun } from "./types.ts";
 import { NO_RESOURCES, type WorkerState } from "./worker_registry.ts";
 
-/** Times that a start is sent before the worker counts as silent. */
+/** How often a start is sent before the worker is considered suspect. */
 export const MAX_START_SENDS = 3;
-/** Ends that somebody may have to explain. */
+/** Ends that are recorded as failures. */
 const FAILURE_ENDS: ReadonlySet<MemberOutcome> = new Set([
     "failed",
     "lapsed",
@@ -39,21 +38,21 @@
     "void",
 ]);
 
-/** The attempts of one leader. */
+/** The attempts tracked by one leader. */
 export class Attempts {
     readonly #context: DispatchContext;
     readonly #units = new Map<string, Map<number, MemberRun>>();
 
     /**
-     * @param context What the parts share.
+     * @param context The dispatcher's shared state.
      */
     constructor(context: DispatchContext) {
         this.#context = context;
     }
 
     /**
-     * Takes over from an earlier leader: every attempt on record may be out, and what is not
-     * under way waits for its turn.
+     * Restores the state of an earlier leader: recorded attempts may still run, and all other units
+     * wait for placement.
      */
     adoptJobs(): void {
         const now = this.#context.clock.getNow();
@@ -79,7 +78,7 @@
         this.#endOrphanedMembers();
     }
 
-    /** Ends members on workers that were forgotten before their ends were recorded. */
+    /** Ends members whose workers were removed before the members' ends were recorded. */
     #endOrphanedMembers(): void {
         for (const members of [...this.#units.values()]) {
             for (const member of [...members.values()]) {
@@ -91,13 +90,13 @@
     }
 
     /**
-     * Creates a member that is planned but not sent.
+     * Creates a planned member that has not been sent to its worker.
      *
      * @param job Its job.
-     * @param unit Its unit; the unit's attempt is the member's.
+     * @param unit Its unit, whose current attempt it belongs to.
      * @param index Its task's index.
-     * @param worker Where it goes.
-     * @param ticket The admission to the worker, where the queue asks for one.
+     * @param worker The worker to run on.
+     * @param ticket The admission ticket for the worker, if the queue requires one.
      * @returns The member.
      */
     createMember(
@@ -132,7 +131,7 @@
             isFiller: spec?.isFiller ?? false,
             targetMs: spec?.targetMs ?? 0,
             load: 0,
-            // An earlier leader may have paced it.
+            // Unknown after a failover: an earlier leader may have sent a pace.
             pacePercent: undefined,
             stopSentAt: Number.NEGATIVE_INFINITY,
             ticket,
@@ -140,7 +139,7 @@
     }
 
     /**
-     * Adds a member; its room is taken from now on.
+     * Adds a member and reserves its resources.
      *
      * @param member The member.
      */
@@ -153,10 +152,10 @@
     }
 
     /**
-     * Gives a member's worker.
+     * Finds the worker of a member that has not ended.
      *
      * @param member The member.
-     * @returns The worker, or `undefined` when the member's end is known already.
+     * @returns The worker, or `undefined` if the member has ended.
      */
     findActive(member: MemberRun): WorkerState | undefined {
         const worker = this.#context.book.findWorker(member.worker);
@@ -164,11 +163,12 @@
     }
 
     /**
-     * Ends a member; after the last one its unit waits again, is done, or has failed its job.
+     * Ends a member. After the last member of an attempt, the unit is done, waits for a retry, or
+     * fails its job.
      *
      * @param member The member.
      * @param endKind How it ended.
-     * @param checkpoint Its newest checkpoint; empty when there is none.
+     * @param checkpoint Its newest checkpoint; empty if there is none.
      */
     endMember(member: MemberRun, endKind: MemberOutcome, checkpoint: string): void {
         if (this.findActive(member) === undefined && endKind !== "lost") {
@@ -202,7 +202,7 @@
         this.#context.recordRoom(this.#context.book.findWorker(member.worker));
         if (members !== undefined && members.size > 0) {
             if (endKind !== "done") {
-                // The others of a gang can not go on without this one.
+                // A gang cannot continue without one of its members.
                 members.forEach((other) => this.stopMember(other));
             }
             return;
@@ -236,10 +236,10 @@
     }
 
     /**
-     * Fails a unit's job once the unit has used up its attempts or crashes its workers.
+     * Fails a unit's job if the unit has used up its attempts or keeps crashing workers.
      *
      * @param ref The unit.
-     * @returns Whether the job has failed by it.
+     * @returns Whether the job failed.
      */
     endIfFailed(ref: UnitRef): boolean {
         const job = this.#context.ledger.jobs.get(ref.job);
@@ -266,7 +266,7 @@
     }
 
     /**
-     * Stops what still runs of a job that has ended.
+     * Stops the remaining members of a job that has ended.
      *
      * @param job The job.
      */
@@ -287,7 +287,7 @@
     }
 
     /**
-     * Has a member stopped. A planned one needs no order: its start finds that it is not wanted.
+     * Stops a member. A planned member needs no order, since its start is not sent any more.
      *
      * @param member The member.
      */
@@ -307,7 +307,7 @@
     }
 
     /**
-     * Ends members that went away with their worker.
+     * Ends members that were lost with their worker.
      *
      * @param members The members.
      */
@@ -317,10 +317,10 @@
 }
 
 /**
- * Gives the room that a task of a step takes.
+ * Computes the resources that a task of a step reserves.
  *
- * @param spec The step; `undefined` when it is forgotten.
- * @returns The room. Tasks that fill take only what the others leave; their memory is theirs.
+ * @param spec The step; `undefined` if it was removed.
+ * @returns The resources. Filler tasks reserve no CPU, but do reserve their memory.
  */
 export function computeReserved(spec: Pick<StepSpec, "needs" | "isFiller"> | undefined): Resources {
     if (spec === undefined) {
@@ -329,7 +329,7 @@
     return spec.isFiller ? { ...spec.needs, cpu: 0 } : spec.needs;
 }
 
-/** A gang would have to go whole, and a perpetual task's users would miss it. */
+/** Excludes gangs, which would have to move as a whole, and perpetual tasks, which serve users. */
 function isMovable(spec: StepSpec): boolean {
     return spec.savesProgress && !spec.isGang && !spec.isPerpetual;
 }
--- a/dispatch/_orders.ts
+++ b/dispatch/_orders.ts
@@ -1,10 +1,11 @@
 /**
- * Orders to workers and what their answers mean: starts that get no answer, and fences that settle them.
+ * Prepares start, stop and pace orders and handles the workers' answers, including starts that are
+ * refused or unanswered.
  *
  * @example
  * ```ts
  * import { Orders } from "./_orders.ts";
- * const orders = new Orders(context, attempts, losses);
+ * const orders = new Orders(context, attempts, failures);
  * const order = orders.prepareStart(member);
  * ```
  *
@@ -23,19 +24,19 @@
     type WorkerState,
 } from "./worker_registry.ts";
 
-/** Pause of a step after a start of it was refused as unreadable, in ms. */
+/** Pause of a step after a worker rejected its start as invalid, in ms. */
 const INVALID_START_PAUSE_MS = 1_000;
 
-/** The orders of one leader. */
+/** The orders sent by one leader. */
 export class Orders {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
     readonly #failures: WorkerFailures;
 
     /**
-     * @param context What the parts share.
-     * @param attempts The attempts under way.
-     * @param failures Takes workers that are silent or gone.
+     * @param context The dispatcher's shared state.
+     * @param attempts The running attempts.
+     * @param failures Handles workers that are suspect or gone.
      */
     constructor(context: DispatchContext, attempts: Attempts, failures: WorkerFailures) {
         this.#context = context;
@@ -44,10 +45,10 @@
     }
 
     /**
-     * Gives the start order of a member whose fact is committed, if it is still wanted.
+     * Prepares the start order of a member whose fact is committed.
      *
      * @param member The member.
-     * @returns The order, or `undefined` when nothing is to be sent.
+     * @returns The order, or `undefined` if the start is obsolete or cannot be sent.
      */
     prepareStart(member: MemberRun): StartOrder | undefined {
         const worker = this.#attempts.findActive(member);
@@ -85,7 +86,7 @@
     }
 
     /**
-     * Takes a worker's answer to a start.
+     * Handles a worker's answer to a start order.
      *
      * @param member The member.
      * @param answer The answer.
@@ -122,10 +123,10 @@
     }
 
     /**
-     * Gives the stop order of a member, if it still runs as far as known.
+     * Prepares the stop order of a member that has not ended.
      *
      * @param member The member.
-     * @returns The order, or `undefined` when its end is known.
+     * @returns The order, or `undefined` if the member has ended.
      */
     prepareStop(member: MemberRun): StopOrder | undefined {
         const worker = this.#attempts.findActive(member);
@@ -137,10 +138,10 @@
     }
 
     /**
-     * Gives the pace order of a member, if it still runs as far as known.
+     * Prepares the pace order of a member that has not ended.
      *
      * @param member The member.
-     * @returns The order, or `undefined` when nothing is to be sent.
+     * @returns The order, or `undefined` if there is nothing to send.
      */
     preparePace(member: MemberRun): PaceOrder | undefined {
         const worker = this.#attempts.findActive(member);
@@ -151,8 +152,8 @@
     }
 
     /**
-     * Takes a worker's answer to a pace order. One that got lost is sent again with the next look
-     * that asks for a change.
+     * Handles a worker's answer to a pace order. An order that was not accepted is sent again when
+     * a later poll answer calls for a change.
      *
      * @param member The member.
      * @param answer The answer.
@@ -164,8 +165,8 @@
     }
 
     /**
-     * Takes a worker's answer to a stop. Once it took the stop, a start that is still on its way
-     * will be refused: the member is in the worker's lists from now on, or never runs.
+     * Handles a worker's answer to a stop order. After accepting a stop, the worker refuses a start
+     * that is still in flight, so its task lists are authoritative for the member.
      *
      * @param member The member.
      * @param answer The answer.
@@ -213,7 +214,7 @@
             this.#attempts.endMember(member, "void", "");
             return;
         }
-        // An earlier send got no answer and may yet be carried out, or was and has ended since.
+        // An earlier, unanswered send may still be executed, or was executed and has ended since.
         if (reason === "superseded") {
             member.startResolvedAt = this.#context.clock.getNow();
             this.#context.emit({ type: "look", worker: member.worker });
@@ -222,7 +223,10 @@
         }
     }
 
-    /** The room may have shrunk since the start was decided, or a slow commit may have outlasted what is known of it. */
+    /**
+     * Checks again just before sending: capacity may have shrunk, or the report may have expired,
+     * while the fact was being committed.
+     */
     #hasCapacity(worker: WorkerState, now: number): boolean {
         return (
             this.#context.book.hasFreshReport(worker, now) &&
@@ -230,7 +234,10 @@
         );
     }
 
-    /** What one worker can not read no other can: sent at once to the next it would go round for ever. */
+    /**
+     * Pauses the step, since every worker would reject the invalid start and it would be retried in
+     * a tight loop.
+     */
     #setStepPause(member: MemberRun): void {
         const step = this.#context.board.findStep(createStepKey(member.unit));
         if (step !== undefined) {
@@ -246,8 +253,8 @@
     }
 
     /**
-     * Nothing listens there, or a cut refuses. Not an answer: a worker that counted as heard from on
-     * a refused connection would have its lease renewed for ever while it is dead.
+     * Handles an order that could not be delivered. A refused connection is not an answer: counting
+     * it as contact would keep renewing a dead worker's lease.
      */
     #handleUndelivered(worker: WorkerState, member: MemberRun, cause: string): void {
         this.#failures.setSuspect(worker, cause);
@@ -268,8 +275,8 @@
             cause,
         });
         if (member.startSends < MAX_START_SENDS && member.state === "ordered") {
-            // The worker takes a start that it has already as done: sending it again over
-            // another connection is safe and tells a lost answer from a lost worker.
+            // Starts are idempotent: resending over another connection tells a lost answer from a
+            // lost worker.
             this.#context.emit({ type: "start", member });
             return;
         }
@@ -278,9 +285,9 @@
     }
 
     /**
-     * Raises the worker's fence and looks at it. An unanswered start may be carried out seconds
-     * later, when its task runs elsewhere already: the task would run twice. Once the worker has
-     * taken the higher fence it refuses the late start, and its lists say whether it ran before.
+     * Raises the worker's fencing token and polls it, so that an unanswered start cannot be
+     * executed after its task has started elsewhere. A worker that has seen the new token refuses
+     * the late start, and its task lists show whether the task ran before.
      */
     #ensureFenced(worker: WorkerState, member: MemberRun): void {
         if (worker.fence <= member.fence) {
@@ -290,7 +297,7 @@
     }
 }
 
-/** What every order about a task that is out says. */
+/** Builds the fields that orders about a running task share. */
 function createOrder(worker: WorkerState, member: MemberRun): StopOrder {
     return {
         worker: member.worker,
--- a/dispatch/_pacer.ts
+++ b/dispatch/_pacer.ts
@@ -1,7 +1,6 @@
 /**
- * Slows tasks that fill unused room while a serving task beside them misses its target. The
- * pattern: fillers take what the others leave, but disturb them by caches and disks, by amounts
- * that change within seconds; a serving task's tail rises although its room is untouched.
+ * Throttles filler tasks while a serving task on the same worker is close to missing its latency
+ * target. Fillers use only idle CPU but still compete for caches and disks.
  *
  * @example
  * ```ts
@@ -16,31 +15,31 @@
 import type { MemberRun } from "./types.ts";
 import type { WorkerState } from "./worker_registry.ts";
 
-/** A tail above this share of the target counts as a miss to come: figures are rough. */
+/** Fillers are paused when a tail latency exceeds this share of its target. */
 const PAUSE_THRESHOLD = 0.9;
-/** Fillers work more again once the tail is below this share of the target. */
+/** Fillers speed up again while every tail latency is at most this share of its target. */
 const RECOVERY_THRESHOLD = 0.6;
-/** Calm must last this long before each step up, in ms: the disturbance changes within seconds. */
+/** Time below the recovery threshold before each increase of the pace, in ms. */
 const RECOVERY_INTERVAL_MS = 3_000;
-/** A step up, in percent. */
+/** Increase of the pace per step, in percent. */
 const RECOVERY_STEP_PERCENT = 25;
 const FULL_PERCENT = 100;
 
-/** The pacing of one leader. */
+/** Sets the pace of filler tasks for one leader. */
 export class Pacer {
     readonly #context: DispatchContext;
 
     /**
-     * @param context What the parts share.
+     * @param context The dispatcher's shared state.
      */
     constructor(context: DispatchContext) {
         this.#context = context;
     }
 
     /**
-     * Sets the pace of a worker's fillers by what its serving tasks report.
+     * Updates the pace of a worker's fillers from the latency of its serving tasks.
      *
-     * @param worker A worker that was just looked at.
+     * @param worker A worker that has just answered a poll.
      */
     update(worker: WorkerState): void {
         const members = [...worker.members.values()];
@@ -54,8 +53,8 @@
             .map((member) => member.load / member.targetMs);
         const worstRatio = Math.max(0, ...latencyRatios);
         if (worstRatio > PAUSE_THRESHOLD) {
-            // At once and wholly: a miss that lasts seconds costs the serving task's users, a
-            // filler that pauses costs nothing but time.
+            // Pause fully and at once: a missed target affects users, a paused filler only loses
+            // time.
             worker.belowTargetSince = undefined;
             fillers.forEach((filler) => this.#setPace(filler, 0));
             return;
--- a/dispatch/_worker_failures.ts
+++ b/dispatch/_worker_failures.ts
@@ -1,11 +1,11 @@
 /**
- * Workers that are silent, and those that are gone with all that ran there.
+ * Handles workers that are suspect, whose leases have expired, or that are gone.
  *
  * @example
  * ```ts
- * import { WorkerLosses } from "./_worker_failures.ts";
- * const losses = new WorkerLosses(context, attempts);
- * losses.setSuspect(worker, "no answer within 400 ms");
+ * import { WorkerFailures } from "./_worker_failures.ts";
+ * const failures = new WorkerFailures(context, attempts);
+ * failures.setSuspect(worker, "no answer within 400 ms");
  * ```
  *
  * @module
@@ -18,14 +18,14 @@
 import type { MemberRun } from "./types.ts";
 import type { WorkerState } from "./worker_registry.ts";
 
-/** The losses of one leader. */
+/** Detects and records worker failures for one leader. */
 export class WorkerFailures {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
 
     /**
-     * @param context What the parts share.
-     * @param attempts The attempts under way.
+     * @param context The dispatcher's shared state.
+     * @param attempts The running attempts.
      */
     constructor(context: DispatchContext, attempts: Attempts) {
         this.#context = context;
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Gives a worker no new work until it answers a look.
+     * Marks a worker as suspect; it gets no new work until it answers.
      *
      * @param worker The worker.
-     * @param cause What it left unanswered.
+     * @param cause Why its last order or poll failed.
      */
     setSuspect(worker: WorkerState, cause: string): void {
         if (!worker.isSuspect) {
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Takes a worker for gone because another incarnation answers in its place. Unless it had announced its end, it
-     * crashed, and what ran there may be the cause.
+     * Removes a worker after another incarnation has answered at its address. Unless the worker was
+     * draining, this counts as a crash, which its tasks may have caused.
      *
      * @param worker The worker.
      */
@@ -77,11 +77,11 @@
     }
 
     /**
-     * Gives up what runs on a worker whose lease has run out. Whether it crashed shows when it answers, or another
-     * incarnation does in its place, perhaps to a later leader.
+     * Ends the tasks of a worker whose lease has expired. Whether the worker crashed is decided
+     * later, when it or another incarnation answers, possibly to a later leader.
      *
      * @param worker The worker.
-     * @param members What an order may have started there.
+     * @param members The members that may have been started there.
      */
     expireLease(worker: WorkerState, members: readonly MemberRun[]): void {
         const { id } = worker.record;
@@ -99,7 +99,7 @@
     }
 
     /**
-     * Notes that a worker whose lease had run out has not crashed.
+     * Records that a worker whose lease had expired has not crashed.
      *
      * @param id The worker.
      */
@@ -110,10 +110,10 @@
     }
 
     /**
-     * Takes a worker for gone, with all that ran there.
+     * Removes a worker and ends all members on it as lost.
      *
      * @param id The worker.
-     * @param reason How it is known.
+     * @param reason Why the worker is considered gone.
      */
     removeWorker(id: WorkerId, reason: string): void {
         const worker = this.#context.book.findWorker(id);
--- a/dispatch/_worker_poller.ts
+++ b/dispatch/_worker_poller.ts
@@ -1,11 +1,11 @@
 /**
- * Looks at workers: each renews the leases and tells what runs and what ended there.
+ * Polls workers. Each poll renews the worker's lease and returns its running and ended tasks.
  *
  * @example
  * ```ts
- * import { Looks } from "./_worker_poller.ts";
- * const looks = new Looks(context, attempts, losses);
- * const order = looks.prepareLook(worker, true);
+ * import { WorkerPoller } from "./_worker_poller.ts";
+ * const poller = new WorkerPoller(context, attempts, failures);
+ * const order = poller.preparePoll(worker, true);
  * ```
  *
  * @module
@@ -20,15 +20,15 @@
 import type { EndReport, PollAnswer, PollOrder, MemberRun, RunningReport } from "./types.ts";
 import type { WorkerState } from "./worker_registry.ts";
 
-/** Ends listed in one answer at most; a full list may leave others out. */
+/** Maximum number of ends in one answer; an answer with this many may be incomplete. */
 const MAX_ENDS_LISTED = 500;
 
-/** Progress is told in whole percent: over shorter times it says little, in ms. */
+/** Shortest interval over which progress is measured, in ms; progress comes in whole percent. */
 const MIN_SPEED_SAMPLE_MS = 250;
-/** A task that shows no progress for this long after its start stands still, in ms. */
+/** Time after a task's start from which missing progress counts as a stall, in ms. */
 const STARTUP_MS = 1_000;
 
-/** The looks of one leader, and what their answers mean. */
+/** Prepares polls and handles their answers for one leader. */
 export class WorkerPoller {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
@@ -36,9 +36,9 @@
     readonly #pacer: Pacer;
 
     /**
-     * @param context What the parts share.
-     * @param attempts The attempts under way.
-     * @param failures Takes workers that are silent or gone.
+     * @param context The dispatcher's shared state.
+     * @param attempts The running attempts.
+     * @param failures Handles workers that are suspect or gone.
      */
     constructor(context: DispatchContext, attempts: Attempts, failures: WorkerFailures) {
         this.#context = context;
@@ -48,11 +48,11 @@
     }
 
     /**
-     * Gives the next look at a worker.
+     * Prepares the next poll of a worker.
      *
      * @param id The worker.
-     * @param mayWait Whether the worker may hold its answer back until something ends.
-     * @returns The look, or `undefined` when nothing runs there and every end is acknowledged.
+     * @param mayWait Whether the worker may delay its answer until a task ends (long poll).
+     * @returns The poll, or `undefined` if nothing runs there and every end is acknowledged.
      */
     preparePoll(id: WorkerId, mayWait: boolean): PollOrder | undefined {
         const worker = this.#context.book.findWorker(id);
@@ -68,13 +68,13 @@
             address: worker.record.address,
             fence: worker.fence,
             cursor: worker.durableCursor,
-            // A look that gets no answer may have been carried out. Renewing the lease with each
-            // try would keep a lost worker's tasks, and their callers, waiting for ever.
+            // An unanswered poll may still have been executed. Renewing the lease with each retry
+            // would keep the tasks of an unreachable worker from ever expiring.
             untilMs: worker.isSuspect
                 ? undefined
                 : this.#context.book.grantLease(worker, this.#context.clock.getNow()),
-            // A silent worker is asked for a sign of life, not for an end: a long call that left just before a
-            // cut healed would be given up two seconds later, and the worker's tasks wait as long.
+            // A suspect worker is polled without waiting, so that a lost poll is retried soon after
+            // the connection recovers.
             waitMs:
                 mayWait && worker.members.size > 0 && !worker.isSuspect
                     ? this.#context.limits.pollWaitMs
@@ -83,9 +83,9 @@
     }
 
     /**
-     * Takes a worker's answer to a look.
+     * Handles a worker's answer to a poll.
      *
-     * @param order The look.
+     * @param order The poll.
      * @param sentAt When it was sent, in ms.
      * @param answer The answer.
      */
@@ -99,14 +99,15 @@
             return;
         }
         if (answer.type === "unanswered" || answer.type === "undelivered") {
-            // One that left later may have been answered meanwhile: then the worker is not silent.
+            // The worker is not suspect if it has answered a later poll.
             if (worker.pollAnsweredAt < sentAt) {
                 this.#failures.setSuspect(worker, answer.cause);
             }
             return;
         }
         if (answer.type === "refused") {
-            // A look that was overtaken by a higher fence of our own; the next one carries it.
+            // The poll was overtaken by a higher fencing token of this leader; the next poll
+            // carries it.
             return;
         }
         const now = this.#context.clock.getNow();
@@ -131,11 +132,11 @@
     }
 
     /**
-     * Notes that ends are durable: a worker told to forget an end that only this leader knew would
-     * leave a later leader to start the task again.
+     * Records that task ends are committed. Only then may the worker discard them; otherwise a
+     * later leader could start a finished task again.
      *
      * @param id The worker.
-     * @param cursor The newest durable end.
+     * @param cursor Number of the newest committed end.
      */
     confirmEnds(id: WorkerId, cursor: number): void {
         const worker = this.#context.book.findWorker(id);
@@ -158,7 +159,10 @@
         this.#attempts.endMember(member, report.how, report.checkpoint);
     }
 
-    /** A lasting task may fail at any time by its own fault: only one that fails at its start tells of its worker. */
+    /**
+     * Counts a perpetual task's failure against its worker only if it happened at startup, since
+     * such a task may fail at any time by its own fault.
+     */
     #recordFailure(worker: WorkerState, member: MemberRun): void {
         const now = this.#context.clock.getNow();
         if (!member.isPerpetual || now - member.startedAt < STARTUP_MS) {
@@ -186,14 +190,14 @@
         this.#recordProgress(worker, member, report.percent, now);
     }
 
-    /** A worker's speed is what its tasks' progress shows against their estimates. */
+    /** Measures the worker's speed from a task's progress relative to its estimate. */
     #recordProgress(worker: WorkerState, member: MemberRun, percent: number, now: number): void {
         const elapsedMs = now - member.progressAt;
         if (member.isPerpetual || member.state !== "running" || elapsedMs < MIN_SPEED_SAMPLE_MS) {
             return;
         }
         const completedMs = ((percent - member.progressPercent) / 100) * member.estimateMs;
-        // A gang's members stand still until the last one is there.
+        // Members of a gang make no progress until all of them have started.
         if (percent > 0 || now - member.startedAt > STARTUP_MS) {
             worker.speed.record(completedMs, elapsedMs, now);
         }
@@ -201,7 +205,7 @@
         member.progressAt = now;
     }
 
-    /** Ends members that a worker's lists should hold and do not. */
+    /** Ends members that should be in the worker's lists but are missing. */
     #resolveMissing(
         worker: WorkerState,
         order: PollOrder,
--- a/dispatch/crash_loop.ts
+++ b/dispatch/crash_loop.ts
@@ -1,13 +1,12 @@
 /**
- * Tasks that crash their workers. The pattern: a worker ends soon after a task's start, with all that runs there,
- * and the task takes the next worker down as soon as it is started again. Most tasks that were on a crashed worker
- * are innocent, so one is given up only after crashes that nothing else explains, or after too many.
+ * Detects units that crash their workers. Most tasks on a crashed worker are innocent, so a unit is
+ * failed only after crashes that nothing else explains, or after too many crashes.
  *
  * @example
  * ```ts
- * import { computeEvidence, isCrashLoop } from "./crash_loop.ts";
- * for (const { unit, evidence } of computeEvidence(members)) {
- *     // record it, then give up what isCrashLoop says
+ * import { computeCrashEvidence, isCrashLoop } from "./crash_loop.ts";
+ * for (const { unit, evidence } of computeCrashEvidence(members)) {
+ *     // record the evidence, then fail the units for which isCrashLoop returns true
  * }
  * ```
  *
@@ -18,30 +17,30 @@
 import { createUnitKey } from "./ready_steps.ts";
 import type { MemberRun } from "./types.ts";
 
-/** A run that was seen at work so long after its start has outlasted it, in ms. */
+/** Time after its start within which a task may have caused its worker's crash, in ms. */
 export const STARTUP_CRASH_WINDOW_MS = 500;
-/** Crashes that nothing else explains after which a unit is given up. */
+/** Crashes with no other suspect after which a unit is failed. */
 const MAX_SOLE_CRASHES = 2;
-/** Crashes of any evidence after which a unit is given up. */
+/** Crashes with any evidence after which a unit is failed. */
 const MAX_CRASHES = 4;
-/** From so many crashes on a unit runs apart from other starts for its whole run, not only at its start. */
+/** Crashes after which a unit is isolated for its whole run, not only during its startup. */
 const FULL_ISOLATION_CRASHES = 3;
 
 /**
- * Tells whether a run has outlasted its start.
+ * Tells whether a run is past its startup.
  *
  * @param member The run.
- * @returns True once its worker listed it a while after its start.
+ * @returns True once its worker listed it long enough after its start.
  */
 export function isPastStartup(member: Pick<MemberRun, "observedRunMs">): boolean {
     return member.observedRunMs >= STARTUP_CRASH_WINDOW_MS;
 }
 
 /**
- * Weighs what a worker's crash says about the units that were there.
+ * Computes the evidence of a worker's crash against the units that ran there.
  *
  * @param members All runs on the worker.
- * @returns One entry a unit that an order may have started.
+ * @returns One entry for each unit that may have been started.
  */
 export function computeCrashEvidence(members: readonly MemberRun[]): CrashedAttempt[] {
     const sent = members.filter((member) => member.startSends > 0);
@@ -62,10 +61,10 @@
 }
 
 /**
- * Tells whether a unit is to be given up.
+ * Tells whether a unit keeps crashing its workers.
  *
- * @param crashes Its history.
- * @returns True when it crashes its workers.
+ * @param crashes The unit's crash history.
+ * @returns True if the unit should be failed.
  */
 export function isCrashLoop(crashes: readonly Crash[]): boolean {
     const sole = crashes.filter(({ evidence }) => evidence === "sole").length;
@@ -73,11 +72,11 @@
 }
 
 /**
- * Computes for how long a unit's next run keeps other starts off its worker, so that a crash tells of it alone
- * and takes no other new run along.
+ * Computes how long a unit's next run is isolated from other starts on its worker, so that a crash
+ * is attributable to it and affects no other new run.
  *
- * @param crashes Its history.
- * @returns Ms from its start; 0 for a unit that is not under suspicion.
+ * @param crashes The unit's crash history.
+ * @returns Ms from the run's start; 0 for a unit that is not suspected.
  */
 export function computeIsolationMs(crashes: readonly Crash[]): number {
     if (crashes.length >= FULL_ISOLATION_CRASHES) {
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -1,8 +1,6 @@
 /**
- * The decisions of the control plane's leader: which task runs where, which orders are repeated,
- * when an attempt that got no answer is over. It takes inputs and gives facts to agree on and
- * effects to carry out once they are agreed on; it does no I/O and asks only the clocks it was
- * given.
+ * Makes the control plane leader's scheduling decisions. The dispatcher is deterministic and does
+ * no I/O: inputs produce facts to replicate and effects to run once the facts are committed.
  *
  * @example
  * ```ts
@@ -57,7 +55,7 @@
 /** Options of {@link Dispatcher}. */
 export type DispatcherOptions = DispatchContextOptions;
 
-/** What a caller hands in. */
+/** A job as submitted by a caller. */
 export interface Submission {
     readonly job: JobId;
     readonly queue: QueueName;
@@ -65,18 +63,20 @@
     readonly spec: JobSpec;
 }
 
-/** A stop without an end in the worker's lists is sent again after this, in ms. */
+/** Time after which a stop is resent if the worker has not reported the task's end, in ms. */
 const STOP_RETRY_MS = 400;
-/** Time between two sweeps that forget ended jobs, in ms. */
+/** Time between two cleanups of ended jobs, in ms. */
 const JOB_CLEANUP_INTERVAL_MS = 5_000;
-/** A worker not heard from for this long, and with nothing running, is forgotten, in ms. */
+/** A worker that runs nothing and has been silent for this long is removed, in ms. */
 const IDLE_WORKER_RETENTION_MS = 120_000;
-/** Time between two records of the heartbeats since, in ms: a third of the time between two of a worker. */
+/**
+ * Time between two facts that record the workers' clocks, in ms; a third of a heartbeat interval.
+ */
 const CLOCK_RECORD_INTERVAL_MS = 500;
-/** Slowest clock against ours, as in {@link WorkerClock}. */
+/** Scales a lease to our clock for the slowest worker clock that {@link WorkerClock} allows for. */
 const INHERITED_LEASE_FACTOR = 1 / 0.98;
 
-/** The leader's decisions. */
+/** Turns inputs into scheduling decisions while its process leads. */
 export class Dispatcher {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
@@ -85,16 +85,17 @@
     readonly #poller: WorkerPoller;
     readonly #placer: StepPlacer;
     readonly #evacuator: Evacuator;
-    /** Heartbeats that are not on record yet: what the workers' clocks showed. */
+    /** Worker clock readings from heartbeats that are not recorded yet. */
     readonly #unrecordedClocks = new Map<WorkerId, number>();
     #clocksRecordedAt = Number.NEGATIVE_INFINITY;
     #cleanedUpAt: number;
     #tickedAt = Number.NEGATIVE_INFINITY;
 
     /**
-     * Takes over: every attempt on record may be out, and every worker with one is looked at.
+     * Takes over from the previous leader: recorded attempts may still run, so every worker is
+     * polled.
      *
-     * @param options State, clocks, first fence; see {@link DispatchContextOptions}.
+     * @param options State, clocks, first fencing token; see {@link DispatchContextOptions}.
      */
     constructor(options: DispatcherOptions) {
         this.#context = new DispatchContext(options);
@@ -111,15 +112,15 @@
     }
 
     /**
-     * Takes what the inputs since the last call led to.
+     * Takes the facts and effects that have accumulated since the last call.
      *
-     * @returns Facts to agree on, effects to carry out after that.
+     * @returns Facts to replicate, and effects to run after they are committed.
      */
     takeOutcome(): Outcome {
         return this.#context.takeOutcome();
     }
 
-    /** Jobs accepted for a queue of which no task has started. */
+    /** Counts the accepted jobs of a queue that have not started a task. */
     countPending(queue: QueueName): number {
         let count = 0;
         for (const job of this.#context.ledger.jobs.values()) {
@@ -129,10 +130,10 @@
     }
 
     /**
-     * Accepts a job, or finds that it was handed in before.
+     * Accepts a job; idempotent for a job that was accepted before.
      *
      * @param submission The job.
-     * @returns Why it can never run, or `undefined` when it is accepted.
+     * @returns Why the job can never run, or `undefined` if it is accepted.
      */
     submit(submission: Submission): string | undefined {
         if (this.#context.ledger.jobs.has(submission.job)) {
@@ -170,7 +171,7 @@
      * Cancels a job.
      *
      * @param id The job.
-     * @returns Whether there is such a job.
+     * @returns Whether the job exists.
      */
     cancel(id: JobId): boolean {
         const job = this.#context.ledger.jobs.get(id);
@@ -186,10 +187,10 @@
     }
 
     /**
-     * Brings a checked configuration into force if it is newer.
+     * Applies a validated configuration if it is newer than the current one.
      *
      * @param configuration The configuration.
-     * @returns Whether it was newer.
+     * @returns Whether it was applied.
      */
     setConfiguration(configuration: Configuration): boolean {
         const current = this.#context.ledger.configuration?.version;
@@ -208,9 +209,9 @@
     }
 
     /**
-     * Takes a worker's heartbeat.
+     * Handles a worker's heartbeat.
      *
-     * @param heartbeat What it tells of itself.
+     * @param heartbeat The worker's report, sequence number and clock.
      */
     handleHeartbeat(heartbeat: Heartbeat): void {
         const { record, sequence, clockMs, leavesInMs } = heartbeat;
@@ -223,8 +224,8 @@
         if (state !== undefined && sequence <= state.lastSequence) {
             return;
         }
-        // A worker that said it leaves does not come back under the same id; a late heartbeat
-        // from before that must not bring new work to it.
+        // Draining is final for a worker ID: a late heartbeat from before the drain must not bring
+        // new work to the worker.
         const isDraining = record.isDraining || (known?.isDraining ?? false);
         const { capacity: confirmed, unconfirmed } = mergeCapacity(
             known?.capacity ?? record.capacity,
@@ -271,7 +272,8 @@
         worker.unconfirmedCapacity = unconfirmed;
         worker.leavesAt = leavesInMs === undefined ? worker.leavesAt : now + leavesInMs;
         if (worker.isSuspect) {
-            // It lives, but orders did not reach it; only an answered look brings work back.
+            // The worker is alive but has not answered orders; it stays suspect until it answers a
+            // poll.
             this.#context.emit({ type: "look", worker: record.id });
         }
         if (clockMs !== undefined) {
@@ -285,12 +287,12 @@
     }
 
     /**
-     * Takes a heartbeat that says nothing new.
+     * Handles a heartbeat whose report is unchanged.
      *
      * @param id The worker.
-     * @param sequence Rises with each heartbeat of the worker.
-     * @param clockMs The worker's clock when it was sent.
-     * @param capacity The room that it told: the member that took it may know less than this leader.
+     * @param sequence Sequence number, which increases with each heartbeat of the worker.
+     * @param clockMs The worker's clock when the heartbeat was sent.
+     * @param capacity The reported capacity, which may differ from what this leader has recorded.
      */
     handleUnchangedHeartbeat(
         id: WorkerId,
@@ -306,7 +308,7 @@
     }
 
     /**
-     * Takes a worker's word that it has left.
+     * Handles a worker's notice that it has left.
      *
      * @param id The worker.
      */
@@ -327,9 +329,9 @@
     }
 
     /**
-     * Does what is due by the clock, then places what waits.
+     * Handles timeouts and due occurrences, then places waiting units.
      *
-     * @param mayPlace False while earlier decisions wait to be carried out.
+     * @param mayPlace False while earlier decisions are still being carried out.
      */
     tick(mayPlace = true): void {
         const now = this.#context.clock.getNow();
@@ -369,14 +371,14 @@
         }
     }
 
-    /** Looks at every worker, those first on which jobs wait. */
+    /** Polls every worker, those with the most tasks first. */
     #pollAll(): void {
         const workers = [...this.#context.book.workers];
         workers.sort((a, b) => b.members.size - a.members.size);
         workers.forEach(({ record }) => this.#context.emit({ type: "look", worker: record.id }));
     }
 
-    /** Two live workers never share an address: one of them is an earlier incarnation. */
+    /** Polls other workers with the same address: all but one of them are earlier incarnations. */
     #checkAddress(record: WorkerReport): void {
         for (const other of this.#context.book.workers) {
             if (other.record.address === record.address && other.record.id !== record.id) {
@@ -413,7 +415,10 @@
         }
     }
 
-    /** Without it a new leader would give out no work until each worker's next heartbeat. */
+    /**
+     * Records worker clocks, so that a new leader can place work before each worker's next
+     * heartbeat.
+     */
     #recordClocks(now: number): void {
         if (
             this.#unrecordedClocks.size === 0 ||
@@ -466,17 +471,17 @@
         this.#orders.handlePaceAnswer(member, answer);
     }
 
-    /** See {@link Orders.prepareLook}. */
+    /** See {@link WorkerPoller.preparePoll}. */
     preparePoll(id: WorkerId, mayWait: boolean): PollOrder | undefined {
         return this.#poller.preparePoll(id, mayWait);
     }
 
-    /** See {@link Orders.handleLook}. */
+    /** See {@link WorkerPoller.handlePollAnswer}. */
     handlePollAnswer(order: PollOrder, sentAt: number, answer: PollAnswer): void {
         this.#poller.handlePollAnswer(order, sentAt, answer);
     }
 
-    /** See {@link Orders.confirmEnds}. */
+    /** See {@link WorkerPoller.confirmEnds}. */
     confirmEnds(id: WorkerId, cursor: number): void {
         this.#poller.confirmEnds(id, cursor);
     }
@@ -497,17 +502,17 @@
 }
 
 /**
- * Tells whether a heartbeat says what is on record.
+ * Tells whether a heartbeat's report matches the worker's record.
  *
- * @param record What is on record.
- * @param report What the heartbeat says.
- * @returns True when nothing differs.
+ * @param record The worker's record.
+ * @param report The heartbeat's report.
+ * @returns True if all reported fields are equal.
  */
 export function isSameReport(record: WorkerRecord, report: WorkerReport): boolean {
     return JSON.stringify(createReport(record)) === JSON.stringify(createReport(report));
 }
 
-/** What a worker told, without what was learned from it. */
+/** Copies the fields that the worker itself reports. */
 function createReport(report: WorkerReport): WorkerReport {
     const { id, address, pool, zone, capacity, labels, instance, isDraining } = report;
     return { id, address, pool, zone, capacity, labels, instance, isDraining };
--- a/dispatch/heartbeat_conflict.ts
+++ b/dispatch/heartbeat_conflict.ts
@@ -1,13 +1,12 @@
 /**
- * Heartbeats that cannot come from the worker whose id they bear. The pattern: another writer, or a damaged
- * message, names a live worker with another address or pool, or with a number far ahead of its own.
- * Taken over, it would send the worker's orders elsewhere, or make its own later heartbeats look old. A room may
- * change while a worker runs; what another writer says of it is weighed in `room_reports.ts`.
+ * Detects heartbeats that conflict with the worker whose ID they carry: another address, another
+ * pool, or a sequence number far ahead. Accepting one would misdirect the worker's orders or make
+ * its own heartbeats look outdated.
  *
  * @example
  * ```ts
- * import { isContradiction } from "./heartbeat_conflict.ts";
- * isContradiction(worker, record, { sequence: 7, isPoolNamed: () => true });
+ * import { isConflictingHeartbeat } from "./heartbeat_conflict.ts";
+ * isConflictingHeartbeat(worker, report, { sequence: 7, isKnownPool: () => true });
  * ```
  *
  * @module
@@ -18,27 +17,27 @@
 import type { WorkerState } from "./worker_registry.ts";
 
 /**
- * A heartbeat's number is at most this far ahead of the one before: with a heartbeat every second or two that
- * is hours of lost ones, which the worker's silence would have ended long before.
+ * Largest gap between the sequence numbers of consecutive heartbeats; larger gaps cannot come from
+ * lost heartbeats, since a worker silent for so long is removed.
  */
 const MAX_SEQUENCE_GAP = 10_000;
 
-/** What a heartbeat is held against, beside the worker's record. */
+/** Properties of a heartbeat that are checked beside its report. */
 export interface HeartbeatConflictContext {
     readonly sequence: number;
-    /** Whether the configuration names a pool. */
+    /** Whether the configuration contains a pool. */
     readonly isKnownPool: (pool: PoolName) => boolean;
 }
 
 /**
- * Tells whether a heartbeat contradicts what is known of its worker. Place and pool stay with one life of a
- * worker. The record that is known may be the false one: it gives way when its pool is not named, or when
- * orders to it fail and nothing runs there.
+ * Tells whether a heartbeat conflicts with its worker's record. Address and pool are fixed for one
+ * incarnation. A wrong record can still be replaced: if its pool is not configured, or if the
+ * worker is suspect and runs nothing.
  *
  * @param known The worker.
- * @param report What the heartbeat says.
- * @param context Its number, the pools.
- * @returns Whether it is to be dropped.
+ * @param report The heartbeat's report.
+ * @param context The heartbeat's sequence number, and the configured pools.
+ * @returns Whether to drop the heartbeat.
  */
 export function isConflictingHeartbeat(
     known: Pick<WorkerState, "record" | "lastSequence" | "isSuspect" | "members">,
--- a/dispatch/heartbeat_conflict_test.ts
+++ b/dispatch/heartbeat_conflict_test.ts
@@ -72,9 +72,7 @@
 });
 
 test("heartbeats of another writer neither lose a sound worker nor draw work away", (t) => {
-    // The caller's job completes. While it runs, another writer sends heartbeats in the name of its worker,
-    // with another address, pool, room or a huge number; orders go on to the worker's own address, and its
-    // own heartbeats go on to count.
+    // Foreign heartbeats carry another address, pool, capacity or a huge sequence number.
     fc.assert(
         fc.property(
             fc.array(
--- a/dispatch/mod.ts
+++ b/dispatch/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Decisions about jobs of steps: placement, orders to workers, advice calls, attempts that got no
- * answer. Pure: inputs in, facts and effects out.
+ * Schedules jobs on workers: admission, placement, orders, advice calls and attempts. Does no I/O:
+ * inputs produce facts and effects.
  *
  * @example
  * ```ts
--- a/dispatch/overdue_tasks.ts
+++ b/dispatch/overdue_tasks.ts
@@ -1,8 +1,6 @@
 /**
- * Tasks whose ends should have been seen by now. The pattern: a worker is asked for its ends by one long call at a
- * time. When that call is lost, an end that came meanwhile is seen only after the call's whole wait and its timeout,
- * two seconds later, and the next step of the job waits that long. A worker with an overdue task is therefore
- * looked at once more, beside the call under way.
+ * Detects tasks whose end should have been reported by now. A lost long poll would delay their ends
+ * until it times out, so a worker with an overdue task gets an extra poll.
  *
  * @example
  * ```ts
@@ -18,19 +16,23 @@
 import type { MemberRun } from "./types.ts";
 import type { WorkerState } from "./worker_registry.ts";
 
-/** An end is overdue this long after it was due, in ms: estimates are off, and ends take some ms to be seen. */
+/** Time after its expected end from which a task is overdue, in ms. */
 const OVERDUE_GRACE_MS = 150;
-/** Pause between two such looks at one worker, in ms: a slow worker's tasks are all overdue. */
+/**
+ * Minimum time between two extra polls of a worker, in ms; on a slow worker all tasks are overdue.
+ */
 const EXTRA_POLL_INTERVAL_MS = 400;
-/** From this progress on, in percent, it tells better than the caller's estimate when a task ends. */
+/**
+ * Progress from which a task's end is extrapolated instead of taken from its estimate, in percent.
+ */
 const MIN_PROGRESS_PERCENT = 5;
 
 /**
- * Tells whether a worker should be looked at because of an overdue task.
+ * Tells whether a worker should get an extra poll because of an overdue task.
  *
  * @param worker The worker.
  * @param now Our clock, in ms.
- * @returns True when a task was due a while ago, and no answer came since.
+ * @returns True if a task is overdue and no poll was answered since its expected end.
  */
 export function hasOverdueTask(
     worker: Pick<WorkerState, "members" | "pollAnsweredAt" | "extraPollAt">,
@@ -48,7 +50,7 @@
     return false;
 }
 
-/** When a task should end; never for one that lasts, that is stopped, or that is not known to run. */
+/** Computes a task's expected end; infinite for a perpetual task or one that is not running. */
 function computeDueAt(member: MemberRun): number {
     if (member.isPerpetual || member.state !== "running") {
         return Number.POSITIVE_INFINITY;
--- a/dispatch/overdue_tasks_test.ts
+++ b/dispatch/overdue_tasks_test.ts
@@ -4,8 +4,7 @@
 const JOB = "00000000000000a1";
 
 test("an end is seen soon although the call that waits for it is lost", (t) => {
-    // The caller's job of two steps is done in time. The long call that waits at its worker for the first step's
-    // end is lost, and would be given up only two seconds after that end.
+    // The lost poll alone would delay the first step's end by two seconds.
     const faults: OrderFault[] = [{ type: "lost" }];
     const floor: FloorFixture = new FloorFixture({
         workers: 1,
@@ -23,9 +22,7 @@
 });
 
 test("after a cut a worker's ends are seen within half a second", (t) => {
-    // The caller's job is done soon after the cut has healed, whenever that is. During the cut each look is lost;
-    // the last of them, that left just before the end of the cut, is not waited for, and does not count
-    // against the worker once a later one was answered.
+    // Polls during the partition are lost; the last of them times out only after it has healed.
     for (let healedAt = 4_000; healedAt <= 6_400; healedAt += 200) {
         const floor: FloorFixture = new FloorFixture({
             workers: 1,
--- a/dispatch/ready_steps.ts
+++ b/dispatch/ready_steps.ts
@@ -1,12 +1,13 @@
 /**
- * The steps whose turn has come, and which of their units wait for a worker.
+ * Tracks the steps that are ready to run, their units that wait for placement, and occurrences of
+ * repeating jobs that are not due yet.
  *
  * @example
  * ```ts
- * import { StepBoard } from "./ready_steps.ts";
- * const board = new StepBoard({ ledger, clock });
- * board.openJob(job);
- * const steps = board.listWaiting();
+ * import { ReadySteps } from "./ready_steps.ts";
+ * const readySteps = new ReadySteps({ ledger, clock });
+ * readySteps.openJob(job);
+ * const steps = [...readySteps.steps];
  * ```
  *
  * @module
@@ -25,19 +26,19 @@
 } from "../job/mod.ts";
 import type { DispatchClock, StepKey } from "./types.ts";
 
-/** What the advice service said about a step. */
+/** The advice service's answers about a step. */
 export interface StepAdvice {
-    /** Workers named in some call; the answer about a worker never changes. */
+    /** Workers that a call has named; the answer about a worker never changes. */
     readonly askedWorkers: Set<WorkerId>;
     /** Workers that may run the step, with their newest ticket. */
     readonly admitted: Map<WorkerId, { readonly ticket: string; readonly validUntil: number }>;
-    /** The calls under way or waiting. */
+    /** IDs of the calls that are queued or in progress. */
     readonly pendingCalls: Set<number>;
-    /** No further call before this time. */
+    /** No further call is made before this time. */
     retryAt: number;
 }
 
-/** A step whose turn has come. */
+/** A step whose dependencies are done. */
 export interface ReadyStep {
     readonly key: StepKey;
     readonly job: Job;
@@ -45,29 +46,32 @@
     readonly step: number;
     readonly spec: StepSpec;
     readonly queue: QueueName;
-    /** Units that wait for a worker. */
+    /** Units that wait for placement. */
     readonly waiting: Set<number>;
     /** When the step became ready, in ms since 1970. */
     readonly readyAt: number;
     readonly advice: StepAdvice;
     /**
-     * The room version at which its waiting units found no place; `undefined` when it is to be tried.
-     * A backlog of hundreds of steps would otherwise be matched with every worker on every event.
+     * Capacity version at which the waiting units were last matched without success; `undefined`
+     * forces a match with all workers. Avoids matching a large backlog with every worker on every
+     * event.
      */
     matchedVersion: number | undefined;
-    /** When it was last matched with every worker, in ms. */
+    /** When the step was last matched with all workers, in ms. */
     matchedAllAt: number;
-    /** Workers that it holds while its gang finds no room; empty for others. */
+    /** Workers reserved for a gang that does not fit yet; empty for other steps. */
     reservedWorkers: ReadonlyMap<WorkerId, number>;
-    /** When it last had others make way, in ms. */
+    /** When the step last preempted other tasks, in ms. */
     preemptedAt: number;
-    /** Workers on which one of its units failed: another one is tried first. */
+    /** Workers on which one of its units failed; retries prefer other workers. */
     readonly failedWorkers: Set<WorkerId>;
-    /** When one of its units failed last, in ms. */
+    /** When one of its units last failed, in ms. */
     lastFailureAt: number;
-    /** No start of it before this time, in ms: workers refused one as unreadable. */
+    /**
+     * No unit is started before this time, in ms; set after a worker rejected a start as invalid.
+     */
     pausedUntil: number;
-    /** Workers crashed under some of its units. */
+    /** Whether workers have crashed while running its units. */
     hasCrashes: boolean;
 }
 
@@ -82,7 +86,7 @@
     nextOccurrence: number;
 }
 
-/** Ready steps by key, and occurrences that are not due yet. */
+/** Ready steps by key, and the schedules of repeating jobs. */
 export class ReadySteps {
     readonly #ledger: StateStore;
     readonly #clock: DispatchClock;
@@ -91,20 +95,20 @@
     readonly #schedules = new Map<JobId, OccurrenceSchedule>();
 
     /**
-     * @param options The state, the clocks.
+     * @param options The replicated state and the clocks.
      */
     constructor(options: ReadyStepsOptions) {
         this.#ledger = options.ledger;
         this.#clock = options.clock;
     }
 
-    /** Every ready step. */
+    /** All ready steps. */
     get steps(): IterableIterator<ReadyStep> {
         return this.#steps.values();
     }
 
     /**
-     * Opens what of a job is ready now, and schedules the rest.
+     * Opens the ready steps of a job and schedules its later occurrences.
      *
      * @param job A job that has not ended.
      */
@@ -126,7 +130,7 @@
     /**
      * Opens the occurrences that have become due.
      *
-     * @returns Whether there were any.
+     * @returns Whether any were opened.
      */
     openDueOccurrences(): boolean {
         const wallTime = this.#clock.getWallTime();
@@ -152,15 +156,15 @@
     /**
      * Finds a ready step.
      *
-     * @param key The step.
-     * @returns The step, or `undefined` when it is not ready or has ended.
+     * @param key The step's key.
+     * @returns The step, or `undefined` if it is not ready or has ended.
      */
     findStep(key: StepKey): ReadyStep | undefined {
         return this.#steps.get(key);
     }
 
     /**
-     * Lets a unit wait again after an attempt.
+     * Puts a unit back into the waiting state after an attempt.
      *
      * @param ref The unit.
      */
@@ -173,7 +177,7 @@
     }
 
     /**
-     * Notes that a worker crashed under a unit.
+     * Records that a worker crashed while running a unit.
      *
      * @param ref The unit.
      */
@@ -186,10 +190,10 @@
     }
 
     /**
-     * Closes a step when all its units are done, and opens those that waited for it.
+     * Closes a step once all its units are done, and opens the steps that depend on it.
      *
      * @param ref A unit that is done.
-     * @returns The keys of steps that ended.
+     * @returns The keys of the closed steps.
      */
     handleUnitDone(ref: UnitRef): StepKey[] {
         const job = this.#ledger.jobs.get(ref.job);
@@ -205,10 +209,10 @@
     }
 
     /**
-     * Closes a job that has ended.
+     * Closes the steps of a job that has ended.
      *
      * @param id The job.
-     * @returns The keys of its steps that were ready.
+     * @returns The keys of the closed steps.
      */
     closeJob(id: JobId): StepKey[] {
         const keys = [...(this.#byJob.get(id) ?? [])];
@@ -218,7 +222,7 @@
         return keys;
     }
 
-    /** Has every step matched with all workers again: the queues changed. */
+    /** Marks every step to be matched with all workers again, after the queues have changed. */
     resetMatches(): void {
         for (const step of this.#steps.values()) {
             step.matchedVersion = undefined;
@@ -275,9 +279,9 @@
 }
 
 /**
- * Gives a step's key.
+ * Creates a step's key.
  *
- * @param ref The job, the occurrence, the step.
+ * @param ref The job, occurrence and step.
  * @returns `JOB.OCCURRENCE.STEP`.
  */
 export function createStepKey(ref: Pick<UnitRef, "job" | "occurrence" | "step">): StepKey {
@@ -285,21 +289,21 @@
 }
 
 /**
- * Names a unit, as a key.
+ * Creates a unit's key.
  *
  * @param ref The unit.
- * @returns The key.
+ * @returns `JOB.OCCURRENCE.STEP/UNIT`.
  */
 export function createUnitKey(ref: UnitRef): string {
     return `${ref.job}.${ref.occurrence}.${ref.step}/${ref.unit}`;
 }
 
 /**
- * Names a unit of a step.
+ * Creates the reference to a unit of a step.
  *
  * @param step The step.
  * @param unit The unit's number.
- * @returns The unit.
+ * @returns The reference.
  */
 export function createUnitRef(step: ReadyStep, unit: number): UnitRef {
     return { job: step.job.id, occurrence: step.occurrence, step: step.step, unit };
--- a/dispatch/reported_capacity.ts
+++ b/dispatch/reported_capacity.ts
@@ -1,13 +1,12 @@
 /**
- * The room of a worker as its heartbeats tell it. The pattern: a worker's room shrinks and grows again while it
- * runs, and one that guards nothing starts whatever it is told to. So a smaller room counts at once, a larger one
- * when two heartbeats in a row have told it (a single false message must not have work started on room that is not
- * there), and a room that was told too long ago counts for nothing.
+ * Merges the capacity in a worker's heartbeat with the known one. A decrease counts at once; an
+ * increase needs two consecutive heartbeats, so that one false heartbeat cannot overcommit a
+ * worker.
  *
  * @example
  * ```ts
- * import { mergeRoom } from "./reported_capacity.ts";
- * const { room, unconfirmed } = mergeRoom(known, told, worker.unconfirmedRoom);
+ * import { mergeCapacity } from "./reported_capacity.ts";
+ * const { capacity, unconfirmed } = mergeCapacity(known, reported, worker.unconfirmedCapacity);
  * ```
  *
  * @module
@@ -15,19 +14,19 @@
 
 import type { Resources } from "../job/mod.ts";
 
-/** The room to place by, and a larger one that the next heartbeat may confirm. */
+/** Capacity to place work on, and a larger one that the next heartbeat has to confirm. */
 export interface MergedCapacity {
     readonly capacity: Resources;
     readonly unconfirmed: Resources | undefined;
 }
 
 /**
- * Weighs what a heartbeat tells against what is known.
+ * Merges a reported capacity with the known one.
  *
- * @param known The room that is placed by so far.
- * @param reported The room that the heartbeat tells.
- * @param unconfirmed A larger room that the heartbeat before told.
- * @returns The room to place by from now on.
+ * @param known The capacity in use so far.
+ * @param reported The capacity in the heartbeat.
+ * @param unconfirmed A larger capacity from the previous heartbeat.
+ * @returns The capacity to use from now on.
  */
 export function mergeCapacity(
     known: Resources,
@@ -45,11 +44,11 @@
 }
 
 /**
- * Tells whether two rooms are the same.
+ * Tells whether two amounts of resources are equal.
  *
- * @param a One.
- * @param b The other.
- * @returns True when nothing differs.
+ * @param a The first amount.
+ * @param b The second amount.
+ * @returns True if all resources are equal.
  */
 export function isSameResources(a: Resources, b: Resources): boolean {
     return a.cpu === b.cpu && a.memoryMb === b.memoryMb && a.gpu === b.gpu;
--- a/dispatch/types.ts
+++ b/dispatch/types.ts
@@ -1,5 +1,6 @@
 /**
- * What the dispatcher knows of work under way, and what it asks its process to do.
+ * Types of the dispatcher: its view of running work, the orders to workers with their answers, and
+ * the effects that its process runs.
  *
  * @example
  * ```ts
@@ -22,74 +23,77 @@
     WorkerReport,
 } from "../job/mod.ts";
 
-/** One occurrence's step, `JOB.OCCURRENCE.STEP`. */
+/** A step of one occurrence, `JOB.OCCURRENCE.STEP`. */
 export type StepKey = Brand<string, "StepKey">;
 /** A front instance that can call the advice service. */
 export type LaneId = Brand<string, "LaneId">;
 
-/** Clocks, given by the process so that tests set them. */
+/** Clocks, injected so that tests can control time. */
 export interface DispatchClock {
-    /** A clock that never goes back, in ms. */
+    /** Monotonic clock, in ms. */
     readonly getNow: () => number;
-    /** Ms since 1970; never goes back between leaders. */
+    /** Wall clock in ms since 1970; does not go back across leaders. */
     readonly getWallTime: () => number;
 }
 
 /**
- * Where a member stands. `planned`: its fact is not committed yet, no order was sent. `ordered`:
- * an order was sent and not answered. `running`: the worker confirmed it. `stopping`: it was told
- * to stop.
+ * State of a member. `planned`: its fact is not committed yet and no order was sent. `ordered`: a
+ * start was sent but not answered. `running`: the worker confirmed the start. `stopping`: it was
+ * told to stop.
  */
 export type MemberState = "planned" | "ordered" | "running" | "stopping";
 
-/** One task of an attempt under way. */
+/** One task of a running attempt. */
 export interface MemberRun {
     readonly unit: UnitRef;
     readonly index: number;
     readonly name: TaskName;
     readonly attempt: number;
     readonly worker: WorkerId;
-    /** What it holds of the worker until its end is known. */
+    /** Resources reserved on the worker until the member's end is known. */
     readonly reserved: Resources;
     readonly priority: number;
     state: MemberState;
-    /** Times that the start was sent. */
+    /** How often the start order was sent. */
     startSends: number;
-    /** The fence of the newest start order; 0 for one that an earlier leader may have sent. */
+    /** Fencing token of the newest start order; 0 if an earlier leader may have sent it. */
     fence: number;
     /**
-     * From this time on every answer to a look at the worker lists the member if it runs there
-     * or ran there; `undefined` while an order may still be on its way.
+     * From this time on, every poll answer lists the member if it runs or ran on the worker;
+     * `undefined` while a start may still be in flight.
      */
     startResolvedAt: number | undefined;
     startedAt: number;
-    /** How long it had run when its worker last listed it, in ms; 0 before. */
+    /** How long the member had run when its worker last listed it, in ms; 0 before that. */
     observedRunMs: number;
-    /** For how long it keeps other starts off its worker, in ms; 0 unless it is under suspicion of crashing it. */
+    /**
+     * Time from its start during which the worker gets no other starts, in ms; 0 unless the unit is
+     * suspected of crashing workers.
+     */
     readonly isolationMs: number;
-    /** Share of its work done, in percent, as the worker reports it. */
+    /** Share of its work that is done, in percent, as reported by the worker. */
     progressPercent: number;
     /** When {@link MemberRun.progressPercent} was last reported. */
     progressAt: number;
     /** The caller's estimate of its duration, in ms. */
     readonly estimateMs: number;
-    /** It can be stopped and resumes elsewhere from its checkpoint. */
+    /** Whether it can be stopped and resumed elsewhere from its checkpoint. */
     readonly isMovable: boolean;
-    /** It runs until it is stopped: its percent is no progress. */
+    /** Whether it runs until it is stopped; its percentage is then not a measure of progress. */
     readonly isPerpetual: boolean;
-    /** It takes only processors that the others leave. */
+    /** Whether it uses only CPU that other tasks leave idle. */
     readonly isFiller: boolean;
-    /** The response time that its own users are promised, in ms; 0 for none. */
+    /** Response time objective of a serving task, in ms; 0 for none. */
     readonly targetMs: number;
-    /** What it reported last: its tail in ms if it serves, else processors in use. */
+    /** Last reported load: tail latency in ms for a serving task, else CPU use. */
     load: number;
-    /** The share at which it was told to work; `undefined` when it was never told. */
+    /** The pace that the task was told to work at, in percent; `undefined` if it was never told. */
     pacePercent: number | undefined;
     stopSentAt: number;
     readonly ticket: string | undefined;
 }
 
-/** A start order, ready to send. */
+/** An order to start a task. */
 export interface StartOrder {
     readonly worker: WorkerId;
     readonly address: string;
@@ -103,7 +107,7 @@
     readonly ticket: string | undefined;
 }
 
-/** A stop order, ready to send. */
+/** An order to stop a task. */
 export interface StopOrder {
     readonly worker: WorkerId;
     readonly address: string;
@@ -112,57 +116,57 @@
     readonly fence: number;
 }
 
-/** An order to work at a share of the full speed, ready to send. */
+/** An order to run a task at a percentage of its full speed. */
 export interface PaceOrder extends StopOrder {
     readonly percent: number;
 }
 
-/** A lease renewal that also asks what runs and what ended. */
+/** A poll that renews the lease and asks for running and ended tasks. */
 export interface PollOrder {
     readonly worker: WorkerId;
     readonly address: string;
     readonly fence: number;
-    /** Ends up to this number are recorded durably; the worker may forget them. */
+    /** Ends up to this number are committed; the worker may discard them. */
     readonly cursor: number;
-    /** The lease's end on the worker's clock; `undefined` while that clock is unknown. */
+    /** The lease's end on the worker's clock, in ms; `undefined` to leave the lease as it is. */
     readonly untilMs: number | undefined;
-    /** How long the worker may hold the answer back until something ends, in ms. */
+    /** How long the worker may delay its answer until a task ends, in ms. */
     readonly waitMs: number;
 }
 
-/** How a worker answered a start or a stop. */
+/** A worker's answer to a start, stop or pace order. */
 export type OrderAnswer =
     | { readonly type: "accepted"; readonly clockMs: number | undefined }
-    /** The worker did nothing and says why. */
+    /** The worker rejected the order. */
     | {
           readonly type: "refused";
           readonly reason: RefusalReason;
           readonly clockMs: number | undefined;
       }
-    /** Another incarnation answered: this one is gone. */
+    /** Another incarnation answered: the addressed worker is gone. */
     | { readonly type: "gone" }
-    /** No connection could be opened: it was not sent. */
+    /** No connection could be opened, so the order was not sent. */
     | { readonly type: "undelivered"; readonly cause: string }
-    /** No answer: it may have been carried out, or may be later. */
+    /** The order timed out: it may have been executed, or may still be. */
     | { readonly type: "unanswered"; readonly cause: string };
 
 /** Why a worker refused an order. */
 export type RefusalReason =
     "fence" | "superseded" | "lease_over" | "no_room" | "ticket" | "unhealthy" | "invalid";
 
-/** One task that a worker reports as running. */
+/** A task that a worker reports as running. */
 export interface RunningReport {
     readonly task: string;
     readonly attempt: number;
     readonly checkpoint: string;
     readonly percent: number;
-    /** Processor use in thousandths of a core, or a serving task's tail in ms. */
+    /** CPU use in thousandths of a core, or tail latency in ms for a serving task. */
     readonly load: number;
 }
 
-/** One end that a worker reports. */
+/** A task end that a worker reports. */
 export interface EndReport {
-    /** Rises by one with each end of the worker. */
+    /** Sequence number, which increases by one with each end on the worker. */
     readonly number: number;
     readonly task: string;
     readonly attempt: number;
@@ -170,7 +174,7 @@
     readonly checkpoint: string;
 }
 
-/** How a worker answered a look. */
+/** A worker's answer to a poll. */
 export type PollAnswer =
     | {
           readonly type: "state";
@@ -190,64 +194,69 @@
     readonly queue: QueueName;
     readonly policy: AdvicePolicy;
     readonly workers: readonly WorkerId[];
-    /** Smaller goes first within its queue. */
+    /** Calls with a lower rank go first within their queue. */
     readonly rank: number;
 }
 
-/** A worker admitted to a step. */
+/** A worker that is admitted to run a step. */
 export interface Admission {
     readonly worker: WorkerId;
     readonly ticket: string;
 }
 
-/** What the process does once the facts that came with it are committed. */
+/** An action that the process runs once the accompanying facts are committed. */
 export type Effect =
     | { readonly type: "start"; readonly member: MemberRun }
     | { readonly type: "stop"; readonly member: MemberRun }
     | { readonly type: "pace"; readonly member: MemberRun }
-    /** Keep looking at the worker while it has work. */
+    /** Polls the worker repeatedly while it has work. */
     | { readonly type: "watch"; readonly worker: WorkerId }
-    /** Look at the worker at once, beside a look under way. */
+    /** Polls the worker at once, even if another poll is in progress. */
     | { readonly type: "look"; readonly worker: WorkerId }
     | { readonly type: "advise"; readonly lane: LaneId; readonly call: AdviceCall }
-    /** The ends up to this number are durable here; the worker may forget them. */
+    /** Confirms that the ends up to this number are committed, so the worker may discard them. */
     | { readonly type: "acknowledge"; readonly worker: WorkerId; readonly cursor: number };
 
-/** A worker's word about itself. */
+/** A worker's heartbeat. */
 export interface Heartbeat {
     readonly record: WorkerReport;
-    /** Rises with each heartbeat of the worker: late ones are told by it. */
+    /**
+     * Sequence number, which increases with each heartbeat of the worker; used to drop late ones.
+     */
     readonly sequence: number;
-    /** The worker's clock when it was sent; `undefined` when it does not tell. */
+    /** The worker's clock when the heartbeat was sent, in ms; `undefined` if not included. */
     readonly clockMs: number | undefined;
-    /** While it drains, the time that is left at least, in ms, where it tells. */
+    /** Minimum time until a draining worker ends, in ms; `undefined` if not announced. */
     readonly leavesInMs: number | undefined;
 }
 
-/** What one input led to. */
+/** Result of one or more inputs. */
 export interface Outcome {
     readonly facts: readonly Fact[];
     readonly effects: readonly Effect[];
 }
 
-/** A milestone changes what all later decisions rest on, such as the configuration. */
+/** Kind of a decision. A milestone affects all later decisions, such as a new configuration. */
 export type DecisionKind = "decision" | "milestone" | "failure";
 
-/** Takes one decision with what decided it; `failure` when something went wrong. */
+/** Records a decision with the values it was based on; `failure` if something went wrong. */
 export type RecordDecision = (
     kind: DecisionKind,
     event: string,
     fields: Readonly<Record<string, unknown>>,
 ) => void;
 
-/** Times and limits of the dispatcher. */
+/** Time limits of the dispatcher. */
 export interface DispatchLimits {
-    /** How long a worker keeps running without a renewal, in ms. */
+    /** How long a worker runs tasks without a lease renewal, in ms. */
     readonly leaseMs: number;
-    /** How long ended jobs are remembered, in ms. */
+    /** How long ended jobs are retained, in ms. */
     readonly retentionMs: number;
-    /** How long one look at a worker may wait for an end, in ms. */
+    /** How long a worker may delay its answer to a poll until a task ends, in ms. */
     readonly pollWaitMs: number;
-    /** A worker whose last heartbeat is older gets no new work, in ms: its room may have shrunk since. */
+    /**
+     * A worker whose newest heartbeat is older gets no new work, in ms, since its capacity may have
+     * shrunk.
+     */
     readonly maxReportAgeMs: number;
 }
--- a/dispatch/worker_clock.ts
+++ b/dispatch/worker_clock.ts
@@ -1,34 +1,34 @@
 /**
- * What is known of a worker's own steady clock, on which its leases are counted.
+ * Estimates a worker's monotonic clock, on which its leases are measured.
  *
  * @example
  * ```ts
  * import { WorkerClock } from "./worker_clock.ts";
  * const clock = new WorkerClock();
  * clock.record(482_113, now);
- * const isOver = (clock.computeEarliest(now + 6_000) ?? 0) > leaseUntil;
+ * const isOver = (clock.computeEarliest(now + 6_000) ?? 0) > leaseEndWorkerMs;
  * ```
  *
  * @module
  */
 
-/** A worker's clock may run this much slower than ours (the workers' contract). */
+/** Largest rate by which a worker's clock may run slower than ours, as the worker API allows. */
 const MAX_CLOCK_DRIFT = 0.02;
 
-/** Samples of a worker's clock. */
+/** The best sample of a worker's clock. */
 export class WorkerClock {
     #clockMs: number | undefined;
     #sampledAt = 0;
 
     /**
-     * Records what the worker's clock showed before it answered.
+     * Records a clock reading from a worker's message.
      *
      * @param clockMs The worker's clock, in ms.
-     * @param now When the answer arrived, in ms of our clock.
+     * @param now When the message arrived, in ms of our clock.
      */
     record(clockMs: number, now: number): void {
-        // An answer that was long on its way shows an old time; the sample that gives the later
-        // clock is the better one.
+        // Keep the sample that yields the later time; a delayed message carries an outdated
+        // reading.
         if (clockMs >= (this.computeEarliest(now) ?? Number.NEGATIVE_INFINITY)) {
             this.#clockMs = clockMs;
             this.#sampledAt = now;
@@ -36,10 +36,10 @@
     }
 
     /**
-     * Computes a time that the worker's clock has reached for certain.
+     * Computes the earliest time that the worker's clock can show now.
      *
      * @param now Our clock, in ms.
-     * @returns The worker's clock at the earliest, or `undefined` before the first sample.
+     * @returns The lower bound in ms, or `undefined` before the first sample.
      */
     computeEarliest(now: number): number | undefined {
         if (this.#clockMs === undefined) {
--- a/dispatch/worker_registry.ts
+++ b/dispatch/worker_registry.ts
@@ -1,12 +1,12 @@
 /**
- * The leader's view of each worker: its clock, the fence of its orders, the lease it was given,
- * the room that attempts hold, and whether it answers and does its work.
+ * Tracks the leader's view of each worker: its clock, fencing token, leases, reserved resources and
+ * health.
  *
  * @example
  * ```ts
- * import { WorkerBook } from "./worker_registry.ts";
- * const book = new WorkerBook({ firstFence: 7_000_000, leaseMs: 6_000 });
- * const worker = book.ensureWorker(record, now);
+ * import { WorkerRegistry } from "./worker_registry.ts";
+ * const registry = new WorkerRegistry({ firstFence: 7_000_000, leaseMs: 6_000, maxReportAgeMs: 3_500 });
+ * const worker = registry.ensureWorker(record, now);
  * ```
  *
  * @module
@@ -18,106 +18,113 @@
 import { WorkerSpeed } from "./worker_speed.ts";
 
 /**
- * A worker that was neither heard from nor answered for this long gets no new work, in ms: its
- * heartbeats come every 1.5 s, so two of them in a row are missing.
+ * A worker without a heartbeat or an answer for this long gets no new work, in ms. Heartbeats come
+ * every 1.5 s, so this allows for one lost heartbeat.
  */
 const CONTACT_TIMEOUT_MS = 4_000;
-/** First pause for a worker that fails what it starts, in ms; it doubles with each failure more. */
+/**
+ * First quarantine of a worker with repeated failures, in ms; it doubles with each further failure.
+ */
 const MIN_QUARANTINE_MS = 1_000;
-/** Longest such pause, in ms: faults of this kind last seconds, so it is tried again soon. */
+/** Longest quarantine, in ms. */
 const MAX_QUARANTINE_MS = 8_000;
-/** Failures in a row, of different units, that put a worker in quarantine. */
+/** Consecutive failures of different units that quarantine a worker. */
 const QUARANTINE_THRESHOLD = 2;
-/** A failure makes a worker doubtful for as long as the longest pause, in ms, unless something is done there. */
+/** Time during which a failure counts against a worker unless a task succeeds there, in ms. */
 const RECENT_FAILURE_MS = MAX_QUARANTINE_MS;
-/** After a crash the next incarnation at the address is held for prone to another one for this long, in ms. */
+/** Time during which a crash counts against the next incarnation at the address, in ms. */
 const RECENT_CRASH_MS = 8_000;
-/** Pause after a worker refused an order, in ms: about the time between two heartbeats. */
+/** Backoff after a worker refused an order, in ms; about one heartbeat interval. */
 const REFUSAL_BACKOFF_MS = 1_500;
 
-/** Room for nothing. */
+/** An empty amount of resources. */
 export const NO_RESOURCES: Resources = { cpu: 0, memoryMb: 0, gpu: 0 };
 
-/** One worker as its leader sees it. */
+/** The leader's view of one worker. */
 export interface WorkerState {
     record: WorkerRecord;
     readonly clock: WorkerClock;
     readonly speed: WorkerSpeed;
-    /** The fence of the next order. */
+    /** Fencing token of the next order. */
     fence: number;
-    /** The latest lease end that any order carried, on the worker's clock. */
+    /** Latest lease end sent to the worker, in ms of the worker's clock. */
     leaseEndWorkerMs: number;
-    /** When every lease of an earlier leader is over for certain, in ms of our clock. */
+    /** When all leases granted by earlier leaders have expired, in ms of our clock. */
     inheritedLeaseEndsAt: number;
     readonly used: { cpu: number; memoryMb: number; gpu: number };
     readonly members: Map<TaskName, MemberRun>;
-    /** The number of the newest end that was read. */
+    /** Number of the newest task end read from the worker. */
     readCursor: number;
-    /** The number up to which ends are durable here. */
+    /** Number of the newest task end that is committed. */
     durableCursor: number;
-    /** The number up to which the worker was told to forget ends. */
+    /** Number up to which task ends were acknowledged to the worker. */
     acknowledgedCursor: number;
     lastContactAt: number;
-    /** Its newest heartbeat: when it arrived here, and what the worker's clock showed, if it told. */
+    /** Newest heartbeat: its arrival time, and the worker's clock if it was included. */
     lastReport: { readonly arrivedAt: number; readonly clockMs: number | undefined };
-    /** A larger room than it is placed by, told by its newest heartbeat. */
+    /** Larger capacity from the newest heartbeat that the next one has to confirm. */
     unconfirmedCapacity: Resources | undefined;
-    /** When it last answered a look, in ms. */
+    /** When the worker last answered a poll, in ms. */
     pollAnsweredAt: number;
-    /** When it was last looked at for an overdue task, in ms. */
+    /** When the worker was last polled because of an overdue task, in ms. */
     extraPollAt: number;
-    /** It left an order or a look unanswered and has not answered since. */
+    /** The worker left an order or a poll unanswered and has not answered since. */
     isSuspect: boolean;
-    /** No new work before this time. */
+    /** The worker gets no new work before this time, in ms. */
     pausedUntil: number;
-    /** Failures of different units since something was done there. */
+    /** Consecutive failures of different units since the last success. */
     consecutiveFailures: number;
     lastFailedUnit: string;
     lastFailureAt: number;
-    /** Since when its serving tasks are well below their targets; `undefined` while they are not. */
+    /** Since when latency has been below the recovery threshold; `undefined` while it is not. */
     belowTargetSince: number | undefined;
-    /** The newest heartbeat's number: late ones are told by it. */
+    /** Sequence number of the newest heartbeat, used to drop late ones. */
     lastSequence: number;
-    /** While it drains: when it may end at the earliest, in ms of our clock, if it told. */
+    /** Earliest end of a draining worker, in ms of our clock, if the worker announced it. */
     leavesAt: number | undefined;
-    /** {@link WorkerRegistry.capacityVersion} when it last got room or became usable. */
+    /**
+     * {@link WorkerRegistry.capacityVersion} when the worker last gained capacity or became usable.
+     */
     capacityVersion: number;
 }
 
 /** Options of {@link WorkerRegistry}. */
 export interface WorkerRegistryOptions {
-    /** Above every fence of earlier leaders. */
+    /** Higher than every fencing token of earlier leaders. */
     readonly firstFence: number;
-    /** How long one lease lasts, in ms. */
+    /** Duration of one lease, in ms. */
     readonly leaseMs: number;
-    /** A worker whose last heartbeat is older gets no new work, in ms. */
+    /** A worker whose newest heartbeat is older gets no new work, in ms. */
     readonly maxReportAgeMs: number;
 }
 
-/** All workers. */
+/** The workers known to the leader. */
 export class WorkerRegistry {
     readonly #options: WorkerRegistryOptions;
     readonly #workers = new Map<WorkerId, WorkerState>();
-    /** Every worker, the one that got room last at the end. */
+    /** All workers, ordered by when they last gained capacity. */
     readonly #byCapacityGain = new Set<WorkerState>();
     #newestFirst: readonly WorkerState[] | undefined;
     #nextFence: number;
-    /** Runs that keep, or kept, other starts off their workers. */
+    /** Runs started in isolation because their units are suspected of crashing workers. */
     readonly isolatedRuns = new Set<MemberRun>();
-    /** When a worker's crash became known, in ms, by its address. */
+    /** When the last worker crash at each address was detected, in ms. */
     readonly #crashTimes = new Map<string, number>();
-    /** Rises when a worker gets room or becomes usable: what did not fit before may fit now. */
+    /**
+     * Increases when a worker gains capacity or becomes usable, so that unplaced units can be
+     * retried.
+     */
     capacityVersion = 0;
 
     /**
-     * @param options The first fence, the lease's length.
+     * @param options First fencing token, lease duration and maximum report age.
      */
     constructor(options: WorkerRegistryOptions) {
         this.#options = options;
         this.#nextFence = options.firstFence;
     }
 
-    /** Every worker known. */
+    /** All known workers. */
     get workers(): IterableIterator<WorkerState> {
         return this.#workers.values();
     }
@@ -126,16 +133,16 @@
      * Finds a worker.
      *
      * @param id The worker.
-     * @returns Its state, or `undefined` when it is unknown or gone.
+     * @returns Its state, or `undefined` if the worker is unknown or gone.
      */
     findWorker(id: WorkerId): WorkerState | undefined {
         return this.#workers.get(id);
     }
 
     /**
-     * Adds a worker, or takes over a newer record of it.
+     * Adds a worker or updates its record.
      *
-     * @param record What the worker told of itself.
+     * @param record The worker's record.
      * @param now Our clock, in ms.
      * @returns Its state.
      */
@@ -178,7 +185,7 @@
     }
 
     /**
-     * Forgets a worker that is gone.
+     * Removes a worker that is gone.
      *
      * @param id The worker.
      */
@@ -192,20 +199,20 @@
     }
 
     /**
-     * Tells whether a worker's room was told lately enough to be given away.
+     * Tells whether a worker's reported capacity is recent enough to place work on.
      *
      * @param worker The worker.
      * @param now Our clock, in ms.
-     * @returns False without a fresh heartbeat: its room may have shrunk since.
+     * @returns False without a recent heartbeat, since the capacity may have shrunk.
      */
     hasFreshReport(worker: WorkerState, now: number): boolean {
         return computeReportAgeMs(worker, now) < this.#options.maxReportAgeMs;
     }
 
     /**
-     * Notes that a worker crashed.
+     * Records a worker crash.
      *
-     * @param address Where it was.
+     * @param address The worker's address.
      * @param now Our clock, in ms.
      */
     recordCrash(address: string, now: number): void {
@@ -218,18 +225,19 @@
     }
 
     /**
-     * Tells whether workers at an address may be crashing again and again by themselves.
+     * Tells whether a worker at an address crashed recently, so that its successor may crash as
+     * well.
      *
      * @param address The address.
      * @param now Our clock, in ms.
-     * @returns True for a while after a crash there.
+     * @returns True for a limited time after a crash.
      */
     hasRecentCrash(address: string, now: number): boolean {
         return now - (this.#crashTimes.get(address) ?? Number.NEGATIVE_INFINITY) < RECENT_CRASH_MS;
     }
 
     /**
-     * Notes that a worker got room or became usable.
+     * Records that a worker gained capacity or became usable.
      *
      * @param worker The worker.
      */
@@ -242,10 +250,10 @@
     }
 
     /**
-     * Lists the workers that got room or became usable since a version.
+     * Lists the workers that gained capacity or became usable since a version.
      *
      * @param version The version.
-     * @returns The workers, the last one first.
+     * @returns The workers, newest change first.
      */
     listChangedSince(version: number): WorkerState[] {
         const changed: WorkerState[] = [];
@@ -258,15 +266,15 @@
         return changed;
     }
 
-    /** Kept until a worker changes: a backlog of steps asks for it in one round of placing. */
+    /** Caches the list until the next change; many steps read it in one placement round. */
     #listNewestFirst(): readonly WorkerState[] {
         this.#newestFirst ??= [...this.#byCapacityGain].reverse();
         return this.#newestFirst;
     }
 
     /**
-     * Gives a worker a higher fence. Once it took the fence, an order sent before that got no
-     * answer can no longer be carried out, however late it arrives.
+     * Raises a worker's fencing token. Once the worker has seen the new token, it rejects all
+     * earlier orders that are still in flight.
      *
      * @param worker The worker.
      */
@@ -276,7 +284,7 @@
     }
 
     /**
-     * Adds a member to its worker; its room is taken from now on.
+     * Adds a member to its worker and reserves its resources.
      *
      * @param member The member.
      */
@@ -295,7 +303,7 @@
     }
 
     /**
-     * Removes a member whose end is known; its room is free again.
+     * Removes a member that has ended and releases its resources.
      *
      * @param member The member.
      */
@@ -312,12 +320,12 @@
     }
 
     /**
-     * Gives a new lease for an order that leaves now.
+     * Grants a new lease with an order that is about to be sent.
      *
      * @param worker The worker.
      * @param now Our clock, in ms.
-     * @returns The lease's end on the worker's clock, whole ms, or `undefined` when that clock
-     * is unknown.
+     * @returns The lease's end in whole ms of the worker's clock, or `undefined` if that clock is
+     * unknown.
      */
     grantLease(worker: WorkerState, now: number): number | undefined {
         const workerClockMs = worker.clock.computeEarliest(now);
@@ -330,12 +338,11 @@
     }
 
     /**
-     * Tells whether every lease that the worker may hold has run out, by its own clock at its
-     * slowest.
+     * Tells whether every lease of a worker has expired, assuming the slowest allowed worker clock.
      *
      * @param worker The worker.
      * @param now Our clock, in ms.
-     * @returns True when nothing can run there on our orders.
+     * @returns True if no task can still run there under a lease.
      */
     isLeaseOver(worker: WorkerState, now: number): boolean {
         if (now < worker.inheritedLeaseEndsAt) {
@@ -354,7 +361,7 @@
      * Records that a worker answered.
      *
      * @param worker The worker.
-     * @param clockMs Its clock in the answer, if it told it.
+     * @param clockMs The worker's clock, if the answer included it.
      * @param now Our clock, in ms.
      */
     recordAnswer(worker: WorkerState, clockMs: number | undefined, now: number): void {
@@ -366,7 +373,7 @@
     }
 
     /**
-     * Records that a task was done on a worker.
+     * Resets a worker's failure count after a successful task.
      *
      * @param worker The worker.
      */
@@ -377,13 +384,13 @@
     }
 
     /**
-     * Records that a task failed on a worker. A worker that fails everything looks idle and would
-     * draw all new work: it is paused after two failures in a row of different units (one unit may
-     * fail anywhere by its own fault), and tried again with growing pauses. Units of one job count
-     * as different, or the failures of one wide step would use up all attempts of a task of it.
+     * Records a task failure. A worker that fails every task looks idle and would attract new work,
+     * so it is quarantined with exponential backoff once different units fail in a row. Units of
+     * the same job count as different; otherwise a wide step could use up a task's attempts on one
+     * worker.
      *
      * @param worker The worker.
-     * @param unit The task's unit.
+     * @param unit Key of the task's unit.
      * @param now Our clock, in ms.
      */
     recordFailure(worker: WorkerState, unit: string, now: number): void {
@@ -401,19 +408,19 @@
     }
 
     /**
-     * Tells whether the last thing known of a worker is a failure.
+     * Tells whether a worker failed a task recently and has not succeeded since.
      *
      * @param worker The worker.
      * @param now Our clock, in ms.
-     * @returns True for a while after a failure, unless something was done there since.
+     * @returns True for a limited time after a failure.
      */
     hasRecentFailure(worker: WorkerState, now: number): boolean {
         return now - worker.lastFailureAt < RECENT_FAILURE_MS;
     }
 
     /**
-     * Pauses a worker that refused an order because it is unhealthy, or has less room than our account
-     * says. It looks idle and would draw, and refuse, every start that fits nowhere else.
+     * Pauses a worker that refused an order because it is unhealthy or lacks capacity. Otherwise it
+     * would look idle and keep attracting starts.
      *
      * @param worker The worker.
      * @param now Our clock, in ms.
@@ -427,7 +434,8 @@
      *
      * @param worker The worker.
      * @param now Our clock, in ms.
-     * @returns False while it drains, is silent, is paused, its room was told too long ago, or its clock is unknown.
+     * @returns False if the worker is draining, suspect, silent or paused, its report is too old,
+     * or its clock is unknown.
      */
     isUsable(worker: WorkerState, now: number): boolean {
         return (
@@ -442,12 +450,12 @@
 }
 
 /**
- * Computes how old a worker's newest heartbeat is: by the worker's own clock where it tells it, as a cut may have held the
- * heartbeat up, and an earlier leader may have taken it.
+ * Computes the age of a worker's newest heartbeat. Prefers the worker's clock to the arrival time,
+ * since the heartbeat may have been delayed or received by an earlier leader.
  *
  * @param worker The worker.
  * @param now Our clock, in ms.
- * @returns Ms since it was sent, at least.
+ * @returns The minimum age, in ms.
  */
 function computeReportAgeMs({ lastReport: report, clock }: WorkerState, now: number): number {
     const clockMs = clock.computeEarliest(now);
@@ -457,10 +465,10 @@
 }
 
 /**
- * Gives what a worker has left.
+ * Computes a worker's free resources.
  *
  * @param worker The worker.
- * @returns Its capacity less the room that members hold.
+ * @returns Its capacity minus what its members reserve.
  */
 export function getFreeResources(worker: WorkerState): Resources {
     const { capacity } = worker.record;
@@ -472,11 +480,11 @@
 }
 
 /**
- * Tells whether something fits.
+ * Tells whether a request fits into the free resources.
  *
- * @param free What is left.
- * @param needs What it takes.
- * @returns True when there is enough of everything.
+ * @param free The free resources.
+ * @param needs The requested resources.
+ * @returns True if there is enough of each resource.
  */
 export function hasResourcesFor(free: Resources, needs: Resources): boolean {
     return free.cpu >= needs.cpu && free.memoryMb >= needs.memoryMb && free.gpu >= needs.gpu;
--- a/dispatch/worker_speed.ts
+++ b/dispatch/worker_speed.ts
@@ -1,34 +1,30 @@
 /**
- * How fast a worker does its work, told by its tasks' progress against their estimates. The
- * pattern: some workers turn several times slower for seconds, or their tasks stand still, while
- * they answer every order. New work that goes there is late; work that goes elsewhere is not.
+ * Estimates a worker's speed from its tasks' progress relative to their estimates, so that new work
+ * can avoid workers that are slow or stalled but still answer.
  *
  * @example
  * ```ts
  * import { WorkerSpeed } from "./worker_speed.ts";
  * const speed = new WorkerSpeed();
  * speed.record(150, 1_000, now); // 150 ms of estimated work done in 1 s
- * speed.computeSlowness(now); // 2
+ * speed.computeSpeedRank(now); // 2
  * ```
  *
  * @module
  */
 
-/**
- * Time constant of the figure, in ms: estimates are off by half and more each way, so several
- * tasks must agree; slow spells last 5 s and more, so it must not take longer.
- */
+/** Time constant of the exponential decay, in ms. */
 const DECAY_MS = 1_500;
-/** Work observed before the figure counts, in ms of tasks' time. */
+/** Minimum task time observed before a worker is ranked, in ms. */
 const MIN_OBSERVED_MS = 1_000;
-/** Below this share of the estimated speed a worker counts as slow: twice the estimates' error. */
+/** Share of the estimated speed below which a worker counts as slow. */
 const SLOW_SPEED = 0.3;
-/** Below this share its tasks stand still. */
+/** Share of the estimated speed below which a worker counts as stalled. */
 const STALLED_SPEED = 0.06;
-/** Without new progress reports the figure is forgotten after this, in ms: the worker is tried again. */
+/** Time without progress reports after which a worker's rank is reset, in ms. */
 const EXPIRY_MS = 4_000;
 
-/** A decayed sum of work done over time taken. */
+/** Exponentially decayed ratio of completed work to elapsed time. */
 export class WorkerSpeed {
     #completedMs = 0;
     #elapsedMs = 0;
@@ -37,8 +33,8 @@
     /**
      * Records a task's progress.
      *
-     * @param completedMs Work done, in ms of its estimate.
-     * @param elapsedMs The time that it took, in ms.
+     * @param completedMs Work completed, in ms of the task's estimate.
+     * @param elapsedMs Time taken, in ms.
      * @param now Our clock, in ms.
      */
     record(completedMs: number, elapsedMs: number, now: number): void {
@@ -49,10 +45,10 @@
     }
 
     /**
-     * Ranks the worker among others.
+     * Ranks the worker by its speed.
      *
      * @param now Our clock, in ms.
-     * @returns 1 for the usual speed or when too little is known, 2 for slow, 3 for stalled.
+     * @returns 1 for normal speed or too few samples, 2 for slow, 3 for stalled.
      */
     computeSpeedRank(now: number): number {
         if (now - this.#recordedAt > EXPIRY_MS || this.#elapsedMs < MIN_OBSERVED_MS) {
--- a/dispatch/worker_speed_test.ts
+++ b/dispatch/worker_speed_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { WorkerSpeed } from "./worker_speed.ts";
 
-/** Reports the progress of four tasks side by side, four times a second. */
+/** Records the progress of four concurrent tasks every 250 ms, and returns the end time. */
 function runTasks(
     speed: WorkerSpeed,
     startMs: number,
@@ -10,7 +10,7 @@
 ): number {
     for (let at = startMs; at < startMs + durationMs; at += 250) {
         for (let task = 0; task < 4; task++) {
-            // Estimates are off by half each way.
+            // Half of the estimates are too high, the others too low.
             const estimateError = task % 2 === 0 ? 0.6 : 1.5;
             speed.record(250 * speedShare * estimateError, 250, at);
         }
