--- a/dispatch/_worker_failures.ts
+++ b/dispatch/_worker_failures.ts
@@ -72,7 +72,7 @@
             });
         }
         crashedAttempts.forEach(({ unit }) => this.#context.board.recordCrash(unit));
-        this.removeWorker(id, "another incarnation answers");
+        this.removeWorker(id, "replaced by another incarnation");
         crashedAttempts.forEach(({ unit }) => this.#attempts.endIfFailed(unit));
     }
 
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -411,7 +411,7 @@
             now - worker.lastContactAt > IDLE_WORKER_RETENTION_MS &&
             Number.isFinite(worker.lastContactAt)
         ) {
-            this.#failures.removeWorker(worker.record.id, "silent");
+            this.#failures.removeWorker(worker.record.id, "no recent heartbeat");
         }
     }
 
--- a/dispatch/heartbeat_conflict_test.ts
+++ b/dispatch/heartbeat_conflict_test.ts
@@ -22,7 +22,7 @@
 
 const context = { sequence: 8, isKnownPool: (pool: PoolName) => pool === POOL };
 
-test("a worker that drains, or changes its labels, contradicts nothing", (t) => {
+test("accepts a heartbeat that announces draining or changes labels", (t) => {
     t.false(
         isConflictingHeartbeat(
             buildKnownWorker(),
@@ -35,7 +35,7 @@
     );
 });
 
-test("another address or pool under a live worker's id is not taken over", (t) => {
+test("rejects a heartbeat with another address or pool, or a sequence number far ahead", (t) => {
     for (const change of [{ address: "10.9.9.9:80" }, { pool: OTHER_POOL }]) {
         t.true(isConflictingHeartbeat(buildKnownWorker(), buildWorkerReport(change), context));
     }
@@ -47,7 +47,7 @@
     );
 });
 
-test("a false first record gives way to the worker's own", (t) => {
+test("replaces a wrong record if its pool is unknown or the worker is suspect and idle", (t) => {
     t.false(
         isConflictingHeartbeat(
             buildKnownWorker({ pool: OTHER_POOL }),
@@ -71,7 +71,7 @@
     );
 });
 
-test("heartbeats of another writer neither lose a sound worker nor draw work away", (t) => {
+test("completes a job on its worker despite foreign heartbeats with the worker's ID", (t) => {
     // Foreign heartbeats carry another address, pool, capacity or a huge sequence number.
     fc.assert(
         fc.property(
--- a/dispatch/overdue_tasks_test.ts
+++ b/dispatch/overdue_tasks_test.ts
@@ -3,7 +3,7 @@
 
 const JOB = "00000000000000a1";
 
-test("an end is seen soon although the call that waits for it is lost", (t) => {
+test("detects a task's end soon after a long poll is lost", (t) => {
     // The lost poll alone would delay the first step's end by two seconds.
     const faults: OrderFault[] = [{ type: "lost" }];
     const floor: FloorFixture = new FloorFixture({
@@ -21,7 +21,7 @@
     t.deepEqual(floor.violations, []);
 });
 
-test("after a cut a worker's ends are seen within half a second", (t) => {
+test("detects task ends soon after a partition heals", (t) => {
     // Polls during the partition are lost; the last of them times out only after it has healed.
     for (let healedAt = 4_000; healedAt <= 6_400; healedAt += 200) {
         const floor: FloorFixture = new FloorFixture({
@@ -33,7 +33,7 @@
         floor.runFor(300);
         floor.submit(JOB, buildSpec({ count: 2, estimateMs: 1_500 }));
         floor.runFor(healedAt + 700 - 300);
-        t.is(floor.getState(JOB), "complete", `healed at ${healedAt}`);
+        t.is(floor.getState(JOB), "complete", `partition healed at ${healedAt} ms`);
         t.deepEqual(floor.violations, []);
     }
 });
--- a/dispatch/worker_speed_test.ts
+++ b/dispatch/worker_speed_test.ts
@@ -18,7 +18,7 @@
     return startMs + durationMs;
 }
 
-test("a worker that turns six times slower is told within two seconds, and forgiven later", (t) => {
+test("ranks a worker as slow after a sixfold slowdown, and as normal after it recovers", (t) => {
     const speed = new WorkerSpeed();
     let at = runTasks(speed, 0, 3_000, 1);
     t.is(speed.computeSpeedRank(at), 1);
@@ -28,7 +28,7 @@
     t.is(speed.computeSpeedRank(at), 1);
 });
 
-test("tasks that stand still are told from slow ones", (t) => {
+test("ranks a worker whose tasks make no progress as stalled until the samples expire", (t) => {
     const speed = new WorkerSpeed();
     let at = runTasks(speed, 0, 3_000, 1);
     at = runTasks(speed, at, 4_500, 0);
