--- a/dispatch/_attempts.ts
+++ b/dispatch/_attempts.ts
@@ -41,7 +41,7 @@
 /** The attempts tracked by one leader. */
 export class Attempts {
     readonly #context: DispatchContext;
-    readonly #units = new Map<string, Map<number, MemberRun>>();
+    readonly #membersByUnit = new Map<string, Map<number, MemberRun>>();
 
     /**
      * @param context The dispatcher's shared state.
@@ -80,7 +80,7 @@
 
     /** Ends members whose workers were removed before the members' ends were recorded. */
     #endOrphanedMembers(): void {
-        for (const members of [...this.#units.values()]) {
+        for (const members of [...this.#membersByUnit.values()]) {
             for (const member of [...members.values()]) {
                 if (this.#context.book.findWorker(member.worker) === undefined) {
                     this.endMember(member, "lost", "");
@@ -114,7 +114,7 @@
             name: formatTaskName({ ...unit, index }),
             attempt: this.#context.ledger.findUnit(unit)?.attempt ?? 0,
             worker,
-            reserved: computeReserved(spec),
+            reserved: computeReservedResources(spec),
             priority: this.#context.findQueue(job.queue)?.priority ?? 0,
             state: "planned",
             startSends: 0,
@@ -145,9 +145,9 @@
      */
     addMember(member: MemberRun): void {
         const key = createUnitKey(member.unit);
-        const members = this.#units.get(key) ?? new Map<number, MemberRun>();
+        const members = this.#membersByUnit.get(key) ?? new Map<number, MemberRun>();
         members.set(member.index, member);
-        this.#units.set(key, members);
+        this.#membersByUnit.set(key, members);
         this.#context.book.addMember(member);
     }
 
@@ -176,7 +176,7 @@
         }
         const { unit: ref } = member;
         this.#context.book.removeMember(member);
-        const members = this.#units.get(createUnitKey(ref));
+        const members = this.#membersByUnit.get(createUnitKey(ref));
         members?.delete(member.index);
         this.#context.record({
             type: "memberEnded",
@@ -207,7 +207,7 @@
             }
             return;
         }
-        this.#units.delete(createUnitKey(ref));
+        this.#membersByUnit.delete(createUnitKey(ref));
         this.#handleAttemptEnd(ref);
     }
 
@@ -277,7 +277,7 @@
                 units.forEach((unit, i) => {
                     if (unit.members.size > 0) {
                         const ref = { job: job.id, occurrence: number, step, unit: i };
-                        this.#units
+                        this.#membersByUnit
                             .get(createUnitKey(ref))
                             ?.forEach((member) => this.stopMember(member));
                     }
@@ -322,7 +322,9 @@
  * @param spec The step; `undefined` if it was removed.
  * @returns The resources. Filler tasks reserve no CPU, but do reserve their memory.
  */
-export function computeReserved(spec: Pick<StepSpec, "needs" | "isFiller"> | undefined): Resources {
+export function computeReservedResources(
+    spec: Pick<StepSpec, "needs" | "isFiller"> | undefined,
+): Resources {
     if (spec === undefined) {
         return NO_RESOURCES;
     }
--- a/dispatch/_holds.ts
+++ b/dispatch/_holds.ts
@@ -15,7 +15,7 @@
 
 import type { QueueConfig } from "../configuration/mod.ts";
 import type { Resources, WorkerId } from "../job/mod.ts";
-import { computeReserved, type Attempts } from "./_attempts.ts";
+import { computeReservedResources, type Attempts } from "./_attempts.ts";
 import type { StepCandidates } from "./_candidates.ts";
 import type { DispatchContext } from "./_context.ts";
 import type { MemberRun } from "./types.ts";
@@ -131,7 +131,7 @@
      */
     #listVictims({ step, queue }: RankedStep, candidates: StepCandidates): MemberRun[] | undefined {
         const admitted = new Set(candidates.admitted.map(({ id }) => id));
-        const needs = computeReserved(step.spec);
+        const needs = computeReservedResources(step.spec);
         const victims: MemberRun[] = [];
         for (const [id, count] of step.reservedWorkers) {
             const worker = this.#context.book.findWorker(id);
@@ -153,7 +153,10 @@
             id,
             attainable: this.#computeAttainable(id, queue.priority),
         }));
-        return selectHeld(places, { needs: computeReserved(step.spec), count: step.spec.count });
+        return selectHeld(places, {
+            needs: computeReservedResources(step.spec),
+            count: step.spec.count,
+        });
     }
 
     /** What others were kept from may be used again. */
--- a/dispatch/_isolation.ts
+++ b/dispatch/_isolation.ts
@@ -15,7 +15,7 @@
  */
 
 import type { WorkerId } from "../job/mod.ts";
-import { computeReserved } from "./_attempts.ts";
+import { computeReservedResources } from "./_attempts.ts";
 import type { StepCandidates } from "./_candidates.ts";
 import type { DispatchContext } from "./_context.ts";
 import { computeIsolationMs, isPastStartup, STARTUP_CRASH_WINDOW_MS } from "./crash_loop.ts";
@@ -192,7 +192,7 @@
         if (this.#reservations.size >= most || own >= wanted) {
             return;
         }
-        const needs = computeReserved(step.spec);
+        const needs = computeReservedResources(step.spec);
         const [best] = this.#selectSteady(candidates)
             .filter(({ id }) => !this.#reservations.has(id) && !this.#closed.has(id))
             .filter(({ id }) =>
@@ -256,7 +256,7 @@
 ): Parameters<typeof placeUnit>[0] {
     const { isGang, count, maxPerWorker, isRackLocal } = step.spec;
     return {
-        needs: computeReserved(step.spec),
+        needs: computeReservedResources(step.spec),
         count: isGang ? count : 1,
         candidates,
         maxPerWorker,
--- a/dispatch/_orders.ts
+++ b/dispatch/_orders.ts
@@ -210,7 +210,7 @@
             this.#context.book.recordRefusal(worker, this.#context.clock.getNow());
         }
         if (member.startSends <= 1) {
-            this.#dropTicket(member, reason);
+            this.#expireTicket(member, reason);
             this.#attempts.endMember(member, "void", "");
             return;
         }
@@ -245,7 +245,7 @@
         }
     }
 
-    #dropTicket(member: MemberRun, reason: string): void {
+    #expireTicket(member: MemberRun, reason: string): void {
         if (reason === "ticket") {
             const step = this.#context.board.findStep(createStepKey(member.unit));
             step?.advice.admitted.set(member.worker, { ticket: "", validUntil: 0 });
--- a/dispatch/_placer.ts
+++ b/dispatch/_placer.ts
@@ -13,7 +13,7 @@
 
 import type { QueueConfig } from "../configuration/mod.ts";
 import type { WorkerId } from "../job/mod.ts";
-import { computeReserved, type Attempts } from "./_attempts.ts";
+import { computeReservedResources, type Attempts } from "./_attempts.ts";
 import { planAdvice, type AskedWorker } from "./advice_plan.ts";
 import { listCandidates, takeRoom, type StepCandidates } from "./_candidates.ts";
 import type { DispatchContext } from "./_context.ts";
@@ -209,7 +209,7 @@
         units: readonly number[],
         candidates: readonly Candidate[],
     ): boolean {
-        const needs = computeReserved(step.spec);
+        const needs = computeReservedResources(step.spec);
         const count = step.spec.isGang ? step.spec.count : 1;
         const { maxPerWorker, isRackLocal, isPerpetual } = step.spec;
         const tasksByZone = this.#countByZone(step);
@@ -391,14 +391,14 @@
 /** Whether a unit of a step fits, with any ticket. */
 function hasRoomForUnit(step: ReadyStep, candidates: readonly Candidate[]): boolean {
     const { count, isGang, maxPerWorker } = step.spec;
-    const needs = computeReserved(step.spec);
+    const needs = computeReservedResources(step.spec);
     const request = { needs, count: isGang ? count : 1, candidates, maxPerWorker };
     return placeUnit({ ...request, isRackLocal: false }) !== undefined;
 }
 
 /** The workers with most room first: an answer about them is most likely to start something. */
 function rankForAdvice(step: ReadyStep, candidates: readonly Candidate[]): AskedWorker[] {
-    const needs = computeReserved(step.spec);
+    const needs = computeReservedResources(step.spec);
     return [...candidates]
         .sort((a, b) => b.free.cpu - a.free.cpu)
         .map(({ id, free }) => ({ id, places: countPlaces(free, needs) }));
--- a/dispatch/ready_steps.ts
+++ b/dispatch/ready_steps.ts
@@ -91,7 +91,7 @@
     readonly #ledger: StateStore;
     readonly #clock: DispatchClock;
     readonly #steps = new Map<StepKey, ReadyStep>();
-    readonly #byJob = new Map<JobId, Set<StepKey>>();
+    readonly #keysByJob = new Map<JobId, Set<StepKey>>();
     readonly #schedules = new Map<JobId, OccurrenceSchedule>();
 
     /**
@@ -203,7 +203,7 @@
         }
         const key = createStepKey(ref);
         this.#steps.delete(key);
-        this.#byJob.get(job.id)?.delete(key);
+        this.#keysByJob.get(job.id)?.delete(key);
         this.#openOccurrence(job, ref.occurrence);
         return [key];
     }
@@ -215,9 +215,9 @@
      * @returns The keys of the closed steps.
      */
     closeJob(id: JobId): StepKey[] {
-        const keys = [...(this.#byJob.get(id) ?? [])];
+        const keys = [...(this.#keysByJob.get(id) ?? [])];
         keys.forEach((key) => this.#steps.delete(key));
-        this.#byJob.delete(id);
+        this.#keysByJob.delete(id);
         this.#schedules.delete(id);
         return keys;
     }
@@ -272,9 +272,9 @@
             pausedUntil: Number.NEGATIVE_INFINITY,
             hasCrashes: units.some((unit) => unit.crashes.length > 0),
         });
-        const keys = this.#byJob.get(step.job.id) ?? new Set();
+        const keys = this.#keysByJob.get(step.job.id) ?? new Set();
         keys.add(step.key);
-        this.#byJob.set(step.job.id, keys);
+        this.#keysByJob.set(step.job.id, keys);
     }
 }
 
--- a/dispatch/worker_registry.ts
+++ b/dispatch/worker_registry.ts
@@ -51,7 +51,7 @@
     leaseEndWorkerMs: number;
     /** When all leases granted by earlier leaders have expired, in ms of our clock. */
     inheritedLeaseEndsAt: number;
-    readonly used: { cpu: number; memoryMb: number; gpu: number };
+    readonly reserved: { cpu: number; memoryMb: number; gpu: number };
     readonly members: Map<TaskName, MemberRun>;
     /** Number of the newest task end read from the worker. */
     readCursor: number;
@@ -159,7 +159,7 @@
             fence: this.#nextFence,
             leaseEndWorkerMs: Number.NEGATIVE_INFINITY,
             inheritedLeaseEndsAt: now,
-            used: { cpu: 0, memoryMb: 0, gpu: 0 },
+            reserved: { cpu: 0, memoryMb: 0, gpu: 0 },
             members: new Map(),
             readCursor: 0,
             durableCursor: 0,
@@ -297,9 +297,9 @@
         if (member.isolationMs > 0) {
             this.isolatedRuns.add(member);
         }
-        worker.used.cpu += member.reserved.cpu;
-        worker.used.memoryMb += member.reserved.memoryMb;
-        worker.used.gpu += member.reserved.gpu;
+        worker.reserved.cpu += member.reserved.cpu;
+        worker.reserved.memoryMb += member.reserved.memoryMb;
+        worker.reserved.gpu += member.reserved.gpu;
     }
 
     /**
@@ -314,9 +314,9 @@
         }
         worker.members.delete(member.name);
         this.isolatedRuns.delete(member);
-        worker.used.cpu -= member.reserved.cpu;
-        worker.used.memoryMb -= member.reserved.memoryMb;
-        worker.used.gpu -= member.reserved.gpu;
+        worker.reserved.cpu -= member.reserved.cpu;
+        worker.reserved.memoryMb -= member.reserved.memoryMb;
+        worker.reserved.gpu -= member.reserved.gpu;
     }
 
     /**
@@ -473,9 +473,9 @@
 export function getFreeResources(worker: WorkerState): Resources {
     const { capacity } = worker.record;
     return {
-        cpu: capacity.cpu - worker.used.cpu,
-        memoryMb: capacity.memoryMb - worker.used.memoryMb,
-        gpu: capacity.gpu - worker.used.gpu,
+        cpu: capacity.cpu - worker.reserved.cpu,
+        memoryMb: capacity.memoryMb - worker.reserved.memoryMb,
+        gpu: capacity.gpu - worker.reserved.gpu,
     };
 }
 
