--- a/dispatch/_attempts.ts
+++ b/dispatch/_attempts.ts
@@ -178,7 +178,7 @@
         this.#context.book.removeMember(member);
         const members = this.#membersByUnit.get(createUnitKey(ref));
         members?.delete(member.index);
-        this.#context.record({
+        this.#context.recordFact({
             type: "memberEnded",
             unit: ref,
             attempt: member.attempt,
@@ -199,7 +199,7 @@
                 lastedMs: endKind === "lost" ? Math.round(member.observedRunMs) : undefined,
             },
         );
-        this.#context.recordRoom(this.#context.book.findWorker(member.worker));
+        this.#context.recordFreedCapacity(this.#context.book.findWorker(member.worker));
         if (members !== undefined && members.size > 0) {
             if (endKind !== "done") {
                 // A gang cannot continue without one of its members.
@@ -227,7 +227,7 @@
         if (unit?.isDone === true) {
             this.#context.board
                 .handleUnitDone(ref)
-                .forEach((key) => this.#context.desk.removeCalls(key));
+                .forEach((key) => this.#context.adviceScheduler.removeCalls(key));
             return;
         }
         if (!this.endIfFailed(ref)) {
@@ -253,7 +253,7 @@
         if (!hasFailed && !isCrashLoop(unit.crashes)) {
             return false;
         }
-        this.#context.record({ type: "jobFailed", job: job.id });
+        this.#context.recordFact({ type: "jobFailed", job: job.id });
         this.#context.recordDecision("failure", "job failed", {
             request: job.id,
             unit: ref,
@@ -271,7 +271,9 @@
      * @param job The job.
      */
     closeJob(job: Job): void {
-        this.#context.board.closeJob(job.id).forEach((key) => this.#context.desk.removeCalls(key));
+        this.#context.board
+            .closeJob(job.id)
+            .forEach((key) => this.#context.adviceScheduler.removeCalls(key));
         for (const [number, occurrence] of job.occurrences) {
             occurrence.steps.forEach((units, step) =>
                 units.forEach((unit, i) => {
--- a/dispatch/_candidates.ts
+++ b/dispatch/_candidates.ts
@@ -24,7 +24,7 @@
     /** The workers to look at. */
     readonly workers: Iterable<WorkerState>;
     /** Whether a worker is kept for others. */
-    readonly isHeld: (id: WorkerId) => boolean;
+    readonly isReserved: (id: WorkerId) => boolean;
     /** Our clock, in ms. */
     readonly now: number;
 }
@@ -51,22 +51,22 @@
     const result: StepCandidates = { admitted: [], unasked: [], expired: [] };
     for (const worker of query.workers) {
         const { record } = worker;
-        const isPossible =
+        const isEligible =
             record.pool === queue.pool &&
             (requiredLabel === undefined || record.labels.includes(requiredLabel)) &&
             context.book.isUsable(worker, now) &&
-            !query.isHeld(record.id);
-        if (!isPossible) {
+            !query.isReserved(record.id);
+        if (!isEligible) {
             continue;
         }
-        const list = findList(result, query, record.id);
+        const list = findCandidateList(result, query, record.id);
         list?.push(createCandidate(step, worker, context.book.hasRecentFailure(worker, now), now));
     }
     return result;
 }
 
 /** A worker that was asked about and is not good is no candidate at all. */
-function findList(
+function findCandidateList(
     result: StepCandidates,
     { step, queue, now }: CandidateQuery,
     id: WorkerId,
@@ -84,7 +84,7 @@
 function createCandidate(
     step: ReadyStep,
     worker: WorkerState,
-    isDoubtful: boolean,
+    hasRecentFailure: boolean,
     now: number,
 ): Candidate {
     const { preferredRack } = step.spec;
@@ -93,15 +93,15 @@
         free: { ...getFreeResources(worker) },
         rack: worker.record.labels[1] ?? "",
         zone: worker.record.zone,
-        sameStep: step.spec.maxPerWorker > 0 ? countSameStep(step, worker) : 0,
-        isNear: preferredRack !== undefined && worker.record.labels.includes(preferredRack),
+        tasksOfStep: step.spec.maxPerWorker > 0 ? countTasksOfStep(step, worker) : 0,
+        isDataLocal: preferredRack !== undefined && worker.record.labels.includes(preferredRack),
         slowness:
             worker.speed.computeSpeedRank(now) + (step.failedWorkers.has(worker.record.id) ? 1 : 0),
-        isDoubtful,
+        hasRecentFailure,
     };
 }
 
-function countSameStep(step: ReadyStep, worker: WorkerState): number {
+function countTasksOfStep(step: ReadyStep, worker: WorkerState): number {
     let count = 0;
     for (const member of worker.members.values()) {
         count += createStepKey(member.unit) === step.key ? 1 : 0;
@@ -116,7 +116,7 @@
  * @param chosen Where tasks go, one entry a task.
  * @param needs What each takes.
  */
-export function takeRoom(
+export function takeCapacity(
     candidates: readonly Candidate[],
     chosen: readonly WorkerId[],
     needs: Resources,
@@ -124,7 +124,7 @@
     for (const id of chosen) {
         const candidate = candidates.find((other) => other.id === id);
         if (candidate !== undefined) {
-            candidate.sameStep += 1;
+            candidate.tasksOfStep += 1;
             candidate.free.cpu -= needs.cpu;
             candidate.free.memoryMb -= needs.memoryMb;
             candidate.free.gpu -= needs.gpu;
--- a/dispatch/_context.ts
+++ b/dispatch/_context.ts
@@ -14,8 +14,8 @@
 
 import type { QueueConfig, QueueName } from "../configuration/mod.ts";
 import type { Fact, StateStore } from "../job/mod.ts";
-import { AdviceDesk } from "./advice_desk.ts";
-import { GoodShares } from "./advice_plan.ts";
+import { AdviceScheduler } from "./advice_scheduler.ts";
+import { AdmissionRates } from "./advice_plan.ts";
 import { ReadySteps } from "./ready_steps.ts";
 import type { DispatchClock, DispatchLimits, Effect, Outcome, RecordDecision } from "./types.ts";
 import { WorkerRegistry, type WorkerState } from "./worker_registry.ts";
@@ -54,8 +54,8 @@
     readonly limits: DispatchLimits;
     readonly book: WorkerRegistry;
     readonly board: ReadySteps;
-    readonly desk = new AdviceDesk();
-    readonly goodShares = new GoodShares();
+    readonly adviceScheduler = new AdviceScheduler();
+    readonly admissionRates = new AdmissionRates();
     readonly recordDecision: RecordDecision;
     /** Something changed that may let a waiting unit be placed. */
     isDirty = true;
@@ -83,7 +83,7 @@
      *
      * @param fact The fact.
      */
-    record(fact: Fact): void {
+    recordFact(fact: Fact): void {
         this.#facts.push(fact);
         this.ledger.apply({ at: this.clock.getWallTime(), facts: [fact] });
     }
@@ -93,7 +93,7 @@
      *
      * @param worker The worker; `undefined` when it is gone already.
      */
-    recordRoom(worker: WorkerState | undefined): void {
+    recordFreedCapacity(worker: WorkerState | undefined): void {
         if (worker !== undefined) {
             this.book.recordCapacityGain(worker);
         }
--- a/dispatch/_isolation.ts
+++ b/dispatch/_crash_isolation.ts
@@ -5,7 +5,7 @@
  *
  * @example
  * ```ts
- * import { Isolation } from "./_isolation.ts";
+ * import { Isolation } from "./_crash_isolation.ts";
  * const isolation = new Isolation(context);
  * isolation.update(now);
  * const workers = isolation.selectWorkers(step, unit, admitted, now);
@@ -25,19 +25,19 @@
 import { hasResourcesFor, NO_RESOURCES, type WorkerState } from "./worker_registry.ts";
 
 /** A unit that finds no worker for itself within this time starts beside others, in ms. */
-const PATIENCE_MS = 3_000;
+const MAX_ISOLATION_WAIT_MS = 3_000;
 /** One worker of so many is kept for units under suspicion at most, and always one. */
 const WORKERS_PER_RESERVATION = 8;
 /** Pause between two looks that ask whether runs have outlasted their starts, in ms. */
-const LOOK_AGAIN_MS = 250;
+const PROBE_INTERVAL_MS = 250;
 
 /** The isolated starts of one leader. */
-export class Isolation {
+export class CrashIsolation {
     readonly #context: DispatchContext;
     readonly #reservations = new Map<WorkerId, StepKey>();
     /** Units under suspicion that found no worker yet, by their keys. */
-    readonly #waiting = new Map<string, { readonly step: StepKey; readonly since: number }>();
-    #closed = new Set<WorkerId>();
+    readonly #waitingUnits = new Map<string, { readonly step: StepKey; readonly since: number }>();
+    #isolatedWorkers = new Set<WorkerId>();
 
     /**
      * @param context What the parts share.
@@ -58,17 +58,19 @@
             const worker = book.findWorker(id);
             const hasWaiting = (board.findStep(key)?.waiting.size ?? 0) > 0;
             if (worker === undefined || !hasWaiting || !book.isUsable(worker, now)) {
-                this.#release(id);
-            } else if ([...worker.members.values()].some((member) => isUnproven(member, now))) {
-                this.#look(worker, now);
+                this.#releaseReservation(id);
+            } else if ([...worker.members.values()].some((member) => isProbeDue(member, now))) {
+                this.#probe(worker, now);
             }
         }
-        for (const [key, { step }] of this.#waiting) {
+        for (const [key, { step }] of this.#waitingUnits) {
             if (board.findStep(step) === undefined) {
-                this.#waiting.delete(key);
+                this.#waitingUnits.delete(key);
             }
         }
-        this.#closed = new Set(this.#listApart(now).map((member) => member.worker));
+        this.#isolatedWorkers = new Set(
+            this.#listIsolatedMembers(now).map((member) => member.worker),
+        );
     }
 
     /**
@@ -78,9 +80,11 @@
      * @param step The step.
      * @returns True beside a run under suspicion, and while the worker is kept for another step.
      */
-    isClosed(id: WorkerId, step: ReadyStep): boolean {
-        const holder = this.#reservations.get(id);
-        return this.#closed.has(id) || (holder !== undefined && holder !== step.key);
+    isBlocked(id: WorkerId, step: ReadyStep): boolean {
+        const reservedFor = this.#reservations.get(id);
+        return (
+            this.#isolatedWorkers.has(id) || (reservedFor !== undefined && reservedFor !== step.key)
+        );
     }
 
     /**
@@ -89,10 +93,12 @@
      * @param candidates Those that are open to the step.
      * @returns Those that units under suspicion neither use nor wait for.
      */
-    selectOpen(candidates: readonly Candidate[]): readonly Candidate[] {
-        return this.#reservations.size + this.#closed.size === 0
+    selectAvailable(candidates: readonly Candidate[]): readonly Candidate[] {
+        return this.#reservations.size + this.#isolatedWorkers.size === 0
             ? candidates
-            : candidates.filter(({ id }) => !this.#reservations.has(id) && !this.#closed.has(id));
+            : candidates.filter(
+                  ({ id }) => !this.#reservations.has(id) && !this.#isolatedWorkers.has(id),
+              );
     }
 
     /**
@@ -127,37 +133,37 @@
         now: number,
     ): WorkerId[] | undefined {
         const key = createUnitKey(createUnitRef(step, unit));
-        const since = this.#waiting.get(key)?.since ?? now;
+        const since = this.#waitingUnits.get(key)?.since ?? now;
         const chosen =
-            this.#placeApart(step, candidates.admitted) ??
-            (now - since >= PATIENCE_MS
-                ? placeUnit(createRequest(step, this.selectOpen(candidates.admitted)))
+            this.#placeIsolated(step, candidates.admitted) ??
+            (now - since >= MAX_ISOLATION_WAIT_MS
+                ? placeUnit(createPlacementRequest(step, this.selectAvailable(candidates.admitted)))
                 : undefined);
         if (chosen === undefined) {
-            this.#waiting.set(key, { step: step.key, since });
+            this.#waitingUnits.set(key, { step: step.key, since });
             this.#addReservation(step, [...candidates.admitted, ...candidates.expired]);
             return undefined;
         }
-        this.#waiting.delete(key);
+        this.#waitingUnits.delete(key);
         for (const id of chosen) {
-            this.#release(id);
-            this.#closed.add(id);
+            this.#releaseReservation(id);
+            this.#isolatedWorkers.add(id);
         }
         return chosen;
     }
 
     /** On workers without young runs, those first that have least to lose. */
-    #placeApart(step: ReadyStep, admitted: readonly Candidate[]): WorkerId[] | undefined {
-        const free = this.#selectSteady(admitted).filter(({ id }) => {
+    #placeIsolated(step: ReadyStep, admitted: readonly Candidate[]): WorkerId[] | undefined {
+        const free = this.#selectStable(admitted).filter(({ id }) => {
             const worker = this.#context.book.findWorker(id);
-            return worker !== undefined && !hasYoungRun(worker);
+            return worker !== undefined && !hasRecentStart(worker);
         });
         if (step.spec.isGang) {
-            return placeUnit(createRequest(step, free));
+            return placeUnit(createPlacementRequest(step, free));
         }
         const ranked = [...free].sort((a, b) => this.#countMembers(a) - this.#countMembers(b));
         for (const candidate of ranked) {
-            const chosen = placeUnit(createRequest(step, [candidate]));
+            const chosen = placeUnit(createPlacementRequest(step, [candidate]));
             if (chosen !== undefined) {
                 return chosen;
             }
@@ -169,14 +175,14 @@
      * Leaves out workers that crashed lately, unless most did: one that crashes by itself looks idle each time it is
      * back, and would have the next unit under suspicion blamed for it.
      */
-    #selectSteady(candidates: readonly Candidate[]): readonly Candidate[] {
+    #selectStable(candidates: readonly Candidate[]): readonly Candidate[] {
         const { book, clock } = this.#context;
         const now = clock.getNow();
-        const steady = candidates.filter(({ id }) => {
+        const stable = candidates.filter(({ id }) => {
             const address = book.findWorker(id)?.record.address ?? "";
             return !book.hasRecentCrash(address, now);
         });
-        return 2 * steady.length >= candidates.length ? steady : candidates;
+        return 2 * stable.length >= candidates.length ? stable : candidates;
     }
 
     #countMembers({ id }: Candidate): number {
@@ -185,16 +191,18 @@
 
     #addReservation(step: ReadyStep, candidates: readonly Candidate[]): void {
         const { book } = this.#context;
-        const workers = [...book.workers].length;
-        const most = Math.max(1, Math.floor(workers / WORKERS_PER_RESERVATION));
-        const own = [...this.#reservations.values()].filter((key) => key === step.key).length;
+        const workerCount = [...book.workers].length;
+        const maxReservations = Math.max(1, Math.floor(workerCount / WORKERS_PER_RESERVATION));
+        const ownReservations = [...this.#reservations.values()].filter(
+            (key) => key === step.key,
+        ).length;
         const wanted = step.spec.isGang ? step.spec.count : this.listSuspects(step).length;
-        if (this.#reservations.size >= most || own >= wanted) {
+        if (this.#reservations.size >= maxReservations || ownReservations >= wanted) {
             return;
         }
         const needs = computeReservedResources(step.spec);
-        const [best] = this.#selectSteady(candidates)
-            .filter(({ id }) => !this.#reservations.has(id) && !this.#closed.has(id))
+        const [best] = this.#selectStable(candidates)
+            .filter(({ id }) => !this.#reservations.has(id) && !this.#isolatedWorkers.has(id))
             .filter(({ id }) =>
                 hasResourcesFor(book.findWorker(id)?.record.capacity ?? NO_RESOURCES, needs),
             )
@@ -204,33 +212,33 @@
         }
     }
 
-    #release(id: WorkerId): void {
+    #releaseReservation(id: WorkerId): void {
         const worker = this.#reservations.delete(id)
             ? this.#context.book.findWorker(id)
             : undefined;
         if (worker !== undefined) {
-            this.#context.recordRoom(worker);
+            this.#context.recordFreedCapacity(worker);
         }
     }
 
     /** The runs that keep others off their workers; those that may have outlasted their starts are looked at. */
-    #listApart(now: number): MemberRun[] {
-        const apart: MemberRun[] = [];
+    #listIsolatedMembers(now: number): MemberRun[] {
+        const isolated: MemberRun[] = [];
         for (const member of this.#context.book.isolatedRuns) {
             if (member.observedRunMs >= member.isolationMs) {
                 continue;
             }
-            apart.push(member);
+            isolated.push(member);
             const worker = this.#context.book.findWorker(member.worker);
-            if (worker !== undefined && isUnproven(member, now)) {
-                this.#look(worker, now);
+            if (worker !== undefined && isProbeDue(member, now)) {
+                this.#probe(worker, now);
             }
         }
-        return apart;
+        return isolated;
     }
 
-    #look(worker: WorkerState, now: number): void {
-        if (now - worker.extraPollAt >= LOOK_AGAIN_MS) {
+    #probe(worker: WorkerState, now: number): void {
+        if (now - worker.extraPollAt >= PROBE_INTERVAL_MS) {
             worker.extraPollAt = now;
             this.#context.emit({ type: "look", worker: worker.record.id });
         }
@@ -238,7 +246,7 @@
 }
 
 /** It runs for long enough to have outlasted its start, and no look has shown it yet. */
-function isUnproven(member: MemberRun, now: number): boolean {
+function isProbeDue(member: MemberRun, now: number): boolean {
     return (
         member.state === "running" &&
         !isPastStartup(member) &&
@@ -246,11 +254,11 @@
     );
 }
 
-function hasYoungRun(worker: WorkerState): boolean {
+function hasRecentStart(worker: WorkerState): boolean {
     return [...worker.members.values()].some((member) => !isPastStartup(member));
 }
 
-function createRequest(
+function createPlacementRequest(
     step: ReadyStep,
     candidates: readonly Candidate[],
 ): Parameters<typeof placeUnit>[0] {
--- a/dispatch/_evacuator.ts
+++ b/dispatch/_evacuator.ts
@@ -12,7 +12,7 @@
 
 import type { Attempts } from "./_attempts.ts";
 import type { DispatchContext } from "./_context.ts";
-import { selectEvacuees } from "./evacuation.ts";
+import { selectForEvacuation } from "./evacuation.ts";
 import type { MemberRun } from "./types.ts";
 import { getFreeResources, hasResourcesFor, type WorkerState } from "./worker_registry.ts";
 
@@ -41,8 +41,8 @@
         if (!record.isDraining || leavesAt === undefined) {
             return;
         }
-        for (const member of selectEvacuees(worker.members.values(), { now, leavesAt })) {
-            if (!this.#hasRoomElsewhere(worker, member, now)) {
+        for (const member of selectForEvacuation(worker.members.values(), { now, leavesAt })) {
+            if (!this.#hasCapacityElsewhere(worker, member, now)) {
                 continue;
             }
             this.#context.recordDecision("decision", "task evacuated", {
@@ -56,7 +56,7 @@
         }
     }
 
-    #hasRoomElsewhere(worker: WorkerState, member: MemberRun, now: number): boolean {
+    #hasCapacityElsewhere(worker: WorkerState, member: MemberRun, now: number): boolean {
         for (const other of this.#context.book.workers) {
             if (
                 other !== worker &&
--- a/dispatch/_holds.ts
+++ b/dispatch/_gang_reservations.ts
@@ -4,7 +4,7 @@
  *
  * @example
  * ```ts
- * import { GangHolds } from "./_holds.ts";
+ * import { GangHolds } from "./_gang_reservations.ts";
  * const holds = new GangHolds(context, attempts);
  * holds.setHolders(ranked);
  * holds.isHeld(workerId, entry);
@@ -19,7 +19,7 @@
 import type { StepCandidates } from "./_candidates.ts";
 import type { DispatchContext } from "./_context.ts";
 import type { MemberRun } from "./types.ts";
-import { selectHeld, selectVictims } from "./reservation.ts";
+import { selectReservedWorkers, selectVictims } from "./reservation.ts";
 import type { ReadyStep } from "./ready_steps.ts";
 import { getFreeResources, NO_RESOURCES } from "./worker_registry.ts";
 
@@ -27,9 +27,9 @@
  * Gangs that hold workers at the same time: a third of the floor at most stands ready (a mean gang
  * takes two to six workers of thirty), and the others fill what is left.
  */
-const MAX_HOLDERS = 2;
+const MAX_RESERVING_GANGS = 2;
 /** Time between two rounds of making way for one gang, in ms: a stop takes up to 0.9 s. */
-const CLEAR_EVERY_MS = 1_500;
+const PREEMPTION_INTERVAL_MS = 1_500;
 
 /** A step that waits, with its place in the order. */
 export interface RankedStep {
@@ -39,10 +39,10 @@
 }
 
 /** The holds of one leader. */
-export class GangHolds {
+export class GangReservations {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
-    #holders: readonly RankedStep[] = [];
+    #reservingGangs: readonly RankedStep[] = [];
 
     /**
      * @param context What the parts share.
@@ -58,17 +58,17 @@
      *
      * @param ranked All waiting steps in order.
      */
-    setHolders(ranked: readonly RankedStep[]): void {
-        const holders: RankedStep[] = [];
+    setReservingGangs(ranked: readonly RankedStep[]): void {
+        const gangs: RankedStep[] = [];
         for (const entry of ranked) {
-            if (holders.length === MAX_HOLDERS) {
+            if (gangs.length === MAX_RESERVING_GANGS) {
                 break;
             }
             if (entry.step.reservedWorkers.size > 0) {
-                holders.push(entry);
+                gangs.push(entry);
             }
         }
-        this.#holders = holders;
+        this.#reservingGangs = gangs;
     }
 
     /**
@@ -79,13 +79,13 @@
      * @param entry The step.
      * @returns True when the step must not use the worker.
      */
-    isHeld(id: WorkerId, entry: RankedStep): boolean {
-        return this.#holders.some(
-            (holder) =>
-                holder.rank < entry.rank &&
-                holder.queue.priority > 0 &&
-                entry.queue.priority >= holder.queue.priority &&
-                holder.step.reservedWorkers.has(id),
+    isReserved(id: WorkerId, entry: RankedStep): boolean {
+        return this.#reservingGangs.some(
+            (gang) =>
+                gang.rank < entry.rank &&
+                gang.queue.priority > 0 &&
+                entry.queue.priority >= gang.queue.priority &&
+                gang.step.reservedWorkers.has(id),
         );
     }
 
@@ -96,16 +96,20 @@
      * @param candidates The workers that it may run on.
      * @param now Our clock, in ms.
      */
-    updateHold(entry: RankedStep, candidates: StepCandidates, now: number): void {
+    updateReservation(entry: RankedStep, candidates: StepCandidates, now: number): void {
         const { step } = entry;
-        const before = step.reservedWorkers;
+        const previous = step.reservedWorkers;
         step.reservedWorkers =
             step.spec.isGang && step.waiting.size > 0
-                ? this.#selectHeld(entry, candidates)
+                ? this.#selectReservedWorkers(entry, candidates)
                 : new Map();
-        this.#releaseWorkers(before, step.reservedWorkers);
-        const mayClear = now - step.preemptedAt >= CLEAR_EVERY_MS;
-        if (step.reservedWorkers.size === 0 || !mayClear || this.#holders.length >= MAX_HOLDERS) {
+        this.#releaseWorkers(previous, step.reservedWorkers);
+        const mayPreempt = now - step.preemptedAt >= PREEMPTION_INTERVAL_MS;
+        if (
+            step.reservedWorkers.size === 0 ||
+            !mayPreempt ||
+            this.#reservingGangs.length >= MAX_RESERVING_GANGS
+        ) {
             return;
         }
         const victims = this.#listVictims(entry, candidates);
@@ -139,21 +143,30 @@
                 return undefined;
             }
             const missingCpu = count * needs.cpu - getFreeResources(worker).cpu;
-            const own = selectVictims(worker.members.values(), missingCpu, queue.priority);
-            if (missingCpu > 0 && own.length === 0) {
+            const workerVictims = selectVictims(
+                worker.members.values(),
+                missingCpu,
+                queue.priority,
+            );
+            if (missingCpu > 0 && workerVictims.length === 0) {
                 return undefined;
             }
-            victims.push(...own);
+            victims.push(...workerVictims);
         }
         return victims;
     }
 
-    #selectHeld({ step, queue }: RankedStep, candidates: StepCandidates): Map<WorkerId, number> {
-        const places = [...candidates.admitted, ...candidates.expired].map(({ id }) => ({
-            id,
-            attainable: this.#computeAttainable(id, queue.priority),
-        }));
-        return selectHeld(places, {
+    #selectReservedWorkers(
+        { step, queue }: RankedStep,
+        candidates: StepCandidates,
+    ): Map<WorkerId, number> {
+        const reservationCandidates = [...candidates.admitted, ...candidates.expired].map(
+            ({ id }) => ({
+                id,
+                capacityAfterPreemption: this.#computeCapacityAfterPreemption(id, queue.priority),
+            }),
+        );
+        return selectReservedWorkers(reservationCandidates, {
             needs: computeReservedResources(step.spec),
             count: step.spec.count,
         });
@@ -161,31 +174,31 @@
 
     /** What others were kept from may be used again. */
     #releaseWorkers(
-        before: ReadonlyMap<WorkerId, number>,
-        held: ReadonlyMap<WorkerId, number>,
+        previous: ReadonlyMap<WorkerId, number>,
+        reserved: ReadonlyMap<WorkerId, number>,
     ): void {
-        for (const id of before.keys()) {
-            const worker = held.has(id) ? undefined : this.#context.book.findWorker(id);
+        for (const id of previous.keys()) {
+            const worker = reserved.has(id) ? undefined : this.#context.book.findWorker(id);
             if (worker !== undefined) {
-                this.#context.recordRoom(worker);
+                this.#context.recordFreedCapacity(worker);
             }
         }
     }
 
     /** What a worker has left once work less urgent than a priority has gone. */
-    #computeAttainable(id: WorkerId, priority: number): Resources {
+    #computeCapacityAfterPreemption(id: WorkerId, priority: number): Resources {
         const worker = this.#context.book.findWorker(id);
         if (worker === undefined) {
             return NO_RESOURCES;
         }
-        const room = { ...getFreeResources(worker) };
+        const capacity = { ...getFreeResources(worker) };
         for (const member of worker.members.values()) {
             if (member.priority > priority) {
-                room.cpu += member.reserved.cpu;
-                room.memoryMb += member.reserved.memoryMb;
-                room.gpu += member.reserved.gpu;
+                capacity.cpu += member.reserved.cpu;
+                capacity.memoryMb += member.reserved.memoryMb;
+                capacity.gpu += member.reserved.gpu;
             }
         }
-        return room;
+        return capacity;
     }
 }
--- a/dispatch/_placer.ts
+++ b/dispatch/_placer.ts
@@ -14,48 +14,48 @@
 import type { QueueConfig } from "../configuration/mod.ts";
 import type { WorkerId } from "../job/mod.ts";
 import { computeReservedResources, type Attempts } from "./_attempts.ts";
-import { planAdvice, type AskedWorker } from "./advice_plan.ts";
-import { listCandidates, takeRoom, type StepCandidates } from "./_candidates.ts";
+import { planAdvice, type AdviceCandidate } from "./advice_plan.ts";
+import { listCandidates, takeCapacity, type StepCandidates } from "./_candidates.ts";
 import type { DispatchContext } from "./_context.ts";
-import { GangHolds, type RankedStep } from "./_holds.ts";
-import { Isolation } from "./_isolation.ts";
-import { countPlaces, placeUnit, type Candidate } from "./placement.ts";
+import { GangReservations, type RankedStep } from "./_gang_reservations.ts";
+import { CrashIsolation } from "./_crash_isolation.ts";
+import { countFittingTasks, placeUnit, type Candidate } from "./placement.ts";
 import { rankStep } from "./ranking.ts";
-import { selectForRepetition } from "./repetition.ts";
+import { selectForRetry } from "./retry_placement.ts";
 import { createUnitRef, type ReadyStep } from "./ready_steps.ts";
 import type { Admission, AdviceCall } from "./types.ts";
 import type { WorkerState } from "./worker_registry.ts";
-import { rankZones } from "./zone_choice.ts";
+import { rankZones } from "./zone_ranking.ts";
 
 /** A ticket is not used so shortly before its end: the commit and the order take time, in ms. */
-const TICKET_MARGIN_MS = 150;
+const TICKET_EXPIRY_MARGIN_MS = 150;
 /** Pause before asking again when nothing new can be learned, in ms. */
-const ADVICE_RETRY_MS = 500;
+const NO_ADMISSION_BACKOFF_MS = 500;
 /**
  * A waiting step is matched with every worker at least this often, in ms: tickets run out by the
  * clock alone. In between it is matched with those that got room since its last try.
  */
-const RETRY_ALL_MS = 1_000;
+const FULL_MATCH_INTERVAL_MS = 1_000;
 /**
  * A gang needs room on many workers at once, so it is matched with all of them, this often, in ms: a
  * fifth of what the shortest objective leaves for waiting.
  */
-const RETRY_GANG_MS = 50;
+const GANG_MATCH_INTERVAL_MS = 50;
 /** The first gangs in order are matched that often: more than find room within a second. */
-const EAGER_GANGS = 8;
+const MAX_FREQUENT_GANGS = 8;
 /** The gangs behind them are matched this often, in ms: a backlog of them costs a fifth as much. */
-const RETRY_LATER_GANG_MS = 250;
+const BACKLOG_GANG_MATCH_INTERVAL_MS = 250;
 
 /** Which workers a step is matched with. */
-type Match = "none" | "changed" | "all";
+type MatchScope = "none" | "changed" | "all";
 
 /** The placements of one leader. */
 export class StepPlacer {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
-    readonly #holds: GangHolds;
-    readonly #isolation: Isolation;
-    #nextCall = 1;
+    readonly #gangReservations: GangReservations;
+    readonly #isolation: CrashIsolation;
+    #nextCallId = 1;
 
     /**
      * @param context What the parts share.
@@ -64,8 +64,8 @@
     constructor(context: DispatchContext, attempts: Attempts) {
         this.#context = context;
         this.#attempts = attempts;
-        this.#holds = new GangHolds(context, attempts);
-        this.#isolation = new Isolation(context);
+        this.#gangReservations = new GangReservations(context, attempts);
+        this.#isolation = new CrashIsolation(context);
     }
 
     /** Places what waits, if anything changed since the last time. */
@@ -77,27 +77,27 @@
         const now = this.#context.clock.getNow();
         const ranked = this.#rankWaiting();
         this.#isolation.update(now);
-        this.#holds.setHolders(ranked);
-        let gangs = 0;
+        this.#gangReservations.setReservingGangs(ranked);
+        let gangCount = 0;
         for (const entry of ranked) {
-            gangs += entry.step.spec.isGang ? 1 : 0;
-            const match = this.#selectMatch(entry, gangs, now);
-            if (match !== "none") {
-                this.#placeStep(entry, match, now);
+            gangCount += entry.step.spec.isGang ? 1 : 0;
+            const scope = this.#selectMatchScope(entry, gangCount, now);
+            if (scope !== "none") {
+                this.#placeStep(entry, scope, now);
             }
         }
-        for (const { lane, call } of this.#context.desk.takeCalls(now)) {
+        for (const { lane, call } of this.#context.adviceScheduler.startCalls(now)) {
             this.#context.emit({ type: "advise", lane, call });
         }
     }
 
     #rankWaiting(): RankedStep[] {
-        const wall = this.#context.clock.getWallTime();
+        const wallMs = this.#context.clock.getWallTime();
         const ranked: RankedStep[] = [];
         for (const step of this.#context.board.steps) {
             const queue = step.waiting.size > 0 ? this.#context.findQueue(step.queue) : undefined;
             if (queue !== undefined) {
-                ranked.push({ step, queue, rank: rankStep(step, queue, wall) });
+                ranked.push({ step, queue, rank: rankStep(step, queue, wallMs) });
             }
         }
         return ranked.sort((a, b) => a.rank - b.rank);
@@ -108,69 +108,72 @@
      * hundreds of workers at each end of a task would take the leader's whole processor; a worker
      * that had no room for a task at the last try has none now unless it got some since.
      */
-    #selectMatch({ step, queue }: RankedStep, gangsSoFar: number, now: number): Match {
+    #selectMatchScope({ step, queue }: RankedStep, gangPosition: number, now: number): MatchScope {
         if (now < step.pausedUntil) {
             return "none";
         }
-        const awaitsAdvice =
+        const isAwaitingAdvice =
             queue.advice !== undefined &&
             step.advice.pendingCalls.size > 0 &&
             step.advice.admitted.size === 0;
-        if (awaitsAdvice) {
+        if (isAwaitingAdvice) {
             return "none";
         }
         if (step.matchedVersion === undefined) {
             return "all";
         }
-        const waitedMs = now - step.matchedAllAt;
+        const sinceFullMatchMs = now - step.matchedAllAt;
         if (
             step.hasCrashes &&
-            waitedMs >= RETRY_GANG_MS &&
+            sinceFullMatchMs >= GANG_MATCH_INTERVAL_MS &&
             this.#isolation.listSuspects(step).length > 0
         ) {
             return "all";
         }
         if (step.spec.isGang) {
-            const everyMs = gangsSoFar <= EAGER_GANGS ? RETRY_GANG_MS : RETRY_LATER_GANG_MS;
-            return waitedMs >= everyMs ? "all" : "none";
+            const intervalMs =
+                gangPosition <= MAX_FREQUENT_GANGS
+                    ? GANG_MATCH_INTERVAL_MS
+                    : BACKLOG_GANG_MATCH_INTERVAL_MS;
+            return sinceFullMatchMs >= intervalMs ? "all" : "none";
         }
-        if (waitedMs >= RETRY_ALL_MS) {
+        if (sinceFullMatchMs >= FULL_MATCH_INTERVAL_MS) {
             return "all";
         }
         return step.matchedVersion === this.#context.book.capacityVersion ? "none" : "changed";
     }
 
-    #placeStep(entry: RankedStep, match: Match, now: number): void {
+    #placeStep(entry: RankedStep, scope: MatchScope, now: number): void {
         const { step } = entry;
         const { book } = this.#context;
         const workers =
-            match === "all" ? book.workers : book.listChangedSince(step.matchedVersion ?? 0);
+            scope === "all" ? book.workers : book.listChangedSince(step.matchedVersion ?? 0);
         step.matchedVersion = book.capacityVersion;
-        if (match === "all") {
+        if (scope === "all") {
             step.matchedAllAt = now;
         }
         const candidates = this.#listCandidates(entry, workers, now);
         const hasPlaced = this.#placeUnits(step, candidates, now);
-        if (match === "all") {
-            this.#holds.updateHold(entry, candidates, now);
+        if (scope === "all") {
+            this.#gangReservations.updateReservation(entry, candidates, now);
         }
         if (!hasPlaced || step.waiting.size > 0) {
-            this.#ensureAdvice(entry, match, candidates, now);
+            this.#ensureAdvice(entry, scope, candidates, now);
         }
     }
 
     #placeUnits(step: ReadyStep, candidates: StepCandidates, now: number): boolean {
         const suspects = this.#isolation.listSuspects(step);
-        const { repeated, first } = this.#listByHistory(step, suspects);
-        const hasPlacedSuspects = this.#placeApart(step, suspects, candidates, now);
-        const open = this.#isolation.selectOpen(candidates.admitted);
-        const trusted = selectForRepetition(open, now - step.lastFailureAt);
-        const hasPlacedRepeated = this.#placeEach(step, repeated, trusted);
-        const hasPlacedFirst = this.#placeEach(step, first, open);
-        return hasPlacedSuspects || hasPlacedRepeated || hasPlacedFirst;
+        const { retries, firstAttempts } = this.#listByFailures(step, suspects);
+        const hasPlacedSuspects = this.#placeSuspects(step, suspects, candidates, now);
+        const available = this.#isolation.selectAvailable(candidates.admitted);
+        const retryCandidates = selectForRetry(available, now - step.lastFailureAt);
+        const hasPlacedRetries = this.#placeEach(step, retries, retryCandidates);
+        const hasPlacedFirstAttempts = this.#placeEach(step, firstAttempts, available);
+        return hasPlacedSuspects || hasPlacedRetries || hasPlacedFirstAttempts;
     }
 
-    #placeApart(
+    #placeSuspects(
         step: ReadyStep,
         suspects: readonly number[],
         candidates: StepCandidates,
@@ -188,19 +191,19 @@
     }
 
     /** Units that failed before go first: their job waits for them longest. */
-    #listByHistory(
+    #listByFailures(
         step: ReadyStep,
         suspects: readonly number[],
-    ): { repeated: number[]; first: number[] } {
+    ): { retries: number[]; firstAttempts: number[] } {
         const units = [...step.waiting].filter((unit) => !suspects.includes(unit));
         if (step.failedWorkers.size === 0) {
-            return { repeated: [], first: units };
+            return { retries: [], firstAttempts: units };
         }
         const hasFailed = (unit: number): boolean =>
             (this.#context.ledger.findUnit(createUnitRef(step, unit))?.failures ?? 0) > 0;
         return {
-            repeated: units.filter((unit) => hasFailed(unit)),
-            first: units.filter((unit) => !hasFailed(unit)),
+            retries: units.filter((unit) => hasFailed(unit)),
+            firstAttempts: units.filter((unit) => !hasFailed(unit)),
         };
     }
 
@@ -212,7 +215,7 @@
         const needs = computeReservedResources(step.spec);
         const count = step.spec.isGang ? step.spec.count : 1;
         const { maxPerWorker, isRackLocal, isPerpetual } = step.spec;
-        const tasksByZone = this.#countByZone(step);
+        const tasksByZone = this.#countTasksByZone(step);
         let hasPlaced = false;
         for (const unit of units) {
             const zoneRanks = rankZones(candidates, { tasksByZone, isSpread: isPerpetual });
@@ -223,23 +226,23 @@
             }
             hasPlaced = true;
             this.#startAttempt(step, unit, chosen);
-            takeRoom(candidates, chosen, needs);
-            chosen.forEach((id) => this.#addToZone(tasksByZone, id));
+            takeCapacity(candidates, chosen, needs);
+            chosen.forEach((id) => this.#addTaskToZone(tasksByZone, id));
         }
         return hasPlaced;
     }
 
     /** Where tasks of the step run now, by zone. */
-    #countByZone(step: ReadyStep): Map<string, number> {
+    #countTasksByZone(step: ReadyStep): Map<string, number> {
         const counts = new Map<string, number>();
         const units = step.job.occurrences.get(step.occurrence)?.steps[step.step] ?? [];
         for (const { members } of units) {
-            members.forEach((worker) => this.#addToZone(counts, worker));
+            members.forEach((worker) => this.#addTaskToZone(counts, worker));
         }
         return counts;
     }
 
-    #addToZone(counts: Map<string, number>, id: WorkerId): void {
+    #addTaskToZone(counts: Map<string, number>, id: WorkerId): void {
         const zone = this.#context.book.findWorker(id)?.record.zone;
         if (zone !== undefined) {
             counts.set(zone, (counts.get(zone) ?? 0) + 1);
@@ -252,9 +255,9 @@
         now: number,
     ): StepCandidates {
         const { step, queue } = entry;
-        const isHeld = (id: WorkerId): boolean =>
-            this.#isolation.isClosed(id, step) || this.#holds.isHeld(id, entry);
-        return listCandidates(this.#context, { step, queue, workers, isHeld, now });
+        const isReserved = (id: WorkerId): boolean =>
+            this.#isolation.isBlocked(id, step) || this.#gangReservations.isReserved(id, entry);
+        return listCandidates(this.#context, { step, queue, workers, isReserved, now });
     }
 
     #startAttempt(step: ReadyStep, unitNumber: number, workers: readonly WorkerId[]): void {
@@ -263,7 +266,7 @@
         const members = workers.map(
             (worker, i) => [step.spec.isGang ? i : unitNumber, worker] as const,
         );
-        this.#context.record({ type: "attemptStarted", unit: ref, attempt, members });
+        this.#context.recordFact({ type: "attemptStarted", unit: ref, attempt, members });
         step.waiting.delete(unitNumber);
         for (const [index, worker] of members) {
             const ticket = step.advice.admitted.get(worker)?.ticket;
@@ -282,25 +285,30 @@
     }
 
     /** Asks about workers that could take a unit now, had they a valid ticket. */
-    #ensureAdvice(entry: RankedStep, match: Match, candidates: StepCandidates, now: number): void {
+    #ensureAdvice(
+        entry: RankedStep,
+        scope: MatchScope,
+        candidates: StepCandidates,
+        now: number,
+    ): void {
         const { step, queue, rank } = entry;
         const { advice } = step;
         if (queue.advice === undefined || advice.pendingCalls.size > 0 || now < advice.retryAt) {
             return;
         }
         const policy = queue.advice;
-        let groups = this.#planAdvice(step, queue, candidates);
-        if (groups.length === 0) {
+        let workerGroups = this.#planAdvice(step, queue, candidates);
+        if (workerGroups.length === 0) {
             return;
         }
-        if (match === "changed") {
+        if (scope === "changed") {
             // One call for all of them costs little more than one for those that changed.
-            const all = this.#listCandidates(entry, this.#context.book.workers, now);
-            groups = this.#planAdvice(step, queue, all);
+            const allCandidates = this.#listCandidates(entry, this.#context.book.workers, now);
+            workerGroups = this.#planAdvice(step, queue, allCandidates);
         }
-        for (const workers of groups) {
+        for (const workers of workerGroups) {
             const call: AdviceCall = {
-                id: this.#nextCall++,
+                id: this.#nextCallId++,
                 step: step.key,
                 queue: queue.name,
                 policy,
@@ -308,7 +316,7 @@
                 rank,
             };
             advice.pendingCalls.add(call.id);
-            this.#context.desk.addCall(call, queue.priority, now);
+            this.#context.adviceScheduler.addCall(call, queue.priority, now);
         }
     }
 
@@ -320,22 +328,30 @@
         }
         const tasks = step.spec.isGang ? step.spec.count : step.waiting.size;
         if (candidates.unasked.length > 0) {
-            const workers = rankForAdvice(step, candidates.unasked);
-            const goodShare = this.#context.goodShares.get(queue.name);
-            return planAdvice({ workers, tasks, goodShare, policy });
+            const workers = rankAdviceCandidates(step, candidates.unasked);
+            const admissionRate = this.#context.admissionRates.get(queue.name);
+            return planAdvice({ workers, tasks, admissionRate, policy });
         }
         const suspects = this.#isolation.listSuspects(step);
-        if (suspects.length === step.waiting.size && hasRoomForUnit(step, candidates.admitted)) {
+        if (
+            suspects.length === step.waiting.size &&
+            hasCapacityForUnit(step, candidates.admitted)
+        ) {
             // They wait for runs beside them, not for a ticket.
             return [];
         }
         const known = [...candidates.expired, ...candidates.admitted];
         // A gang that holds workers asks while they are cleared, so that its tickets are fresh then.
-        const isHolding = step.reservedWorkers.size > 0 && candidates.admitted.length === 0;
-        if (!isHolding && !hasRoomForUnit(step, known)) {
+        const isReserving = step.reservedWorkers.size > 0 && candidates.admitted.length === 0;
+        if (!isReserving && !hasCapacityForUnit(step, known)) {
             return [];
         }
-        return planAdvice({ workers: rankForAdvice(step, known), tasks, goodShare: 1, policy });
+        return planAdvice({
+            workers: rankAdviceCandidates(step, known),
+            tasks,
+            admissionRate: 1,
+            policy,
+        });
     }
 
     /**
@@ -351,7 +367,7 @@
         ageMs: number,
     ): void {
         const now = this.#context.clock.getNow();
-        const times = this.#context.desk.endCall(call.id, admissions !== undefined, now);
+        const times = this.#context.adviceScheduler.endCall(call.id, admissions !== undefined, now);
         this.#context.isDirty = true;
         const step = this.#context.board.findStep(call.step);
         if (step === undefined || !step.advice.pendingCalls.delete(call.id)) {
@@ -361,14 +377,14 @@
         if (admissions === undefined) {
             return;
         }
-        this.#recordShare(step, call, admissions);
+        this.#recordAdmissionRate(step, call, admissions);
         call.workers.forEach((worker) => step.advice.askedWorkers.add(worker));
-        const validUntil = now - ageMs + call.policy.validMs - TICKET_MARGIN_MS;
+        const validUntil = now - ageMs + call.policy.validMs - TICKET_EXPIRY_MARGIN_MS;
         for (const { worker, ticket } of admissions) {
             step.advice.admitted.set(worker, { ticket, validUntil });
         }
         if (admissions.length === 0 && step.advice.pendingCalls.size === 0) {
-            step.advice.retryAt = now + ADVICE_RETRY_MS;
+            step.advice.retryAt = now + NO_ADMISSION_BACKOFF_MS;
         }
         this.#context.recordDecision("decision", "advice received", {
             request: step.job.id,
@@ -380,16 +396,20 @@
         });
     }
 
-    #recordShare(step: ReadyStep, call: AdviceCall, admissions: readonly Admission[]): void {
+    #recordAdmissionRate(
+        step: ReadyStep,
+        call: AdviceCall,
+        admissions: readonly Admission[],
+    ): void {
         const isNew = (worker: WorkerId): boolean => !step.advice.askedWorkers.has(worker);
         const asked = call.workers.filter((worker) => isNew(worker)).length;
-        const good = admissions.filter(({ worker }) => isNew(worker)).length;
-        this.#context.goodShares.record(call.queue, asked, good);
+        const admitted = admissions.filter(({ worker }) => isNew(worker)).length;
+        this.#context.admissionRates.record(call.queue, asked, admitted);
     }
 }
 
 /** Whether a unit of a step fits, with any ticket. */
-function hasRoomForUnit(step: ReadyStep, candidates: readonly Candidate[]): boolean {
+function hasCapacityForUnit(step: ReadyStep, candidates: readonly Candidate[]): boolean {
     const { count, isGang, maxPerWorker } = step.spec;
     const needs = computeReservedResources(step.spec);
     const request = { needs, count: isGang ? count : 1, candidates, maxPerWorker };
@@ -397,9 +417,12 @@
 }
 
 /** The workers with most room first: an answer about them is most likely to start something. */
-function rankForAdvice(step: ReadyStep, candidates: readonly Candidate[]): AskedWorker[] {
+function rankAdviceCandidates(
+    step: ReadyStep,
+    candidates: readonly Candidate[],
+): AdviceCandidate[] {
     const needs = computeReservedResources(step.spec);
     return [...candidates]
         .sort((a, b) => b.free.cpu - a.free.cpu)
-        .map(({ id, free }) => ({ id, places: countPlaces(free, needs) }));
+        .map(({ id, free }) => ({ id, taskSlots: countFittingTasks(free, needs) }));
 }
--- a/dispatch/_worker_failures.ts
+++ b/dispatch/_worker_failures.ts
@@ -65,7 +65,7 @@
             book.recordCrash(address, clock.getNow());
         }
         if (crashedAttempts.length > 0) {
-            this.#context.record({ type: "workerCrashed", worker: id, under: crashedAttempts });
+            this.#context.recordFact({ type: "workerCrashed", worker: id, under: crashedAttempts });
             this.#context.recordDecision("failure", "worker crashed", {
                 worker: id,
                 under: crashedAttempts,
@@ -90,7 +90,7 @@
             members: members.length,
             silentMs: Math.round(this.#context.clock.getNow() - worker.lastContactAt),
         });
-        this.#context.record({
+        this.#context.recordFact({
             type: "workerLapsed",
             worker: id,
             under: computeCrashEvidence(members),
@@ -105,7 +105,7 @@
      */
     clearLapse(id: WorkerId): void {
         if (this.#context.ledger.attemptsOnExpiredLeases.has(id)) {
-            this.#context.record({ type: "workerAnswered", worker: id });
+            this.#context.recordFact({ type: "workerAnswered", worker: id });
         }
     }
 
@@ -127,7 +127,7 @@
             silentMs: Math.round(this.#context.clock.getNow() - worker.lastContactAt),
             draining: worker.record.isDraining,
         });
-        this.#context.record({ type: "workerGone", worker: id });
+        this.#context.recordFact({ type: "workerGone", worker: id });
         this.#attempts.endMembers([...worker.members.values()]);
         this.#context.book.removeWorker(id);
     }
--- a/dispatch/_worker_poller.ts
+++ b/dispatch/_worker_poller.ts
@@ -115,7 +115,7 @@
             this.#context.recordDecision("decision", "worker answers again", {
                 worker: order.worker,
             });
-            this.#context.recordRoom(worker);
+            this.#context.recordFreedCapacity(worker);
         }
         this.#context.book.recordAnswer(worker, answer.clockMs, now);
         worker.pollAnsweredAt = now;
--- a/dispatch/admission.ts
+++ b/dispatch/admission.ts
@@ -37,34 +37,36 @@
 
 function checkStep(step: StepSpec, workers: readonly WorkerRecord[]): string | undefined {
     const { requiredLabel } = step;
-    const labelled = workers.filter(
+    const matchingWorkers = workers.filter(
         (worker) => requiredLabel === undefined || worker.labels.includes(requiredLabel),
     );
-    if (labelled.length === 0) {
+    if (matchingWorkers.length === 0) {
         return `no worker carries the label ${String(requiredLabel)}`;
     }
-    const places = labelled.map((worker) => countPlaces(step, worker.fullCapacity));
-    if (places.every((count) => count === 0)) {
+    const taskCounts = matchingWorkers.map((worker) =>
+        countFittingTasks(step, worker.fullCapacity),
+    );
+    if (taskCounts.every((count) => count === 0)) {
         return "no worker is large enough for one of its tasks";
     }
-    const total = places.reduce((sum, count) => sum + count, 0);
+    const total = taskCounts.reduce((sum, count) => sum + count, 0);
     if (step.isGang && total < step.count) {
         return `the workers have room for ${total} of its ${step.count} tasks at once`;
     }
     return undefined;
 }
 
-function countPlaces(step: StepSpec, capacity: Resources): number {
+function countFittingTasks(step: StepSpec, capacity: Resources): number {
     const { needs } = step;
-    let places = step.maxPerWorker > 0 ? step.maxPerWorker : step.count;
+    let taskCount = step.maxPerWorker > 0 ? step.maxPerWorker : step.count;
     if (needs.cpu > 0 && !step.isFiller) {
-        places = Math.min(places, Math.floor(capacity.cpu / needs.cpu));
+        taskCount = Math.min(taskCount, Math.floor(capacity.cpu / needs.cpu));
     }
     if (needs.memoryMb > 0) {
-        places = Math.min(places, Math.floor(capacity.memoryMb / needs.memoryMb));
+        taskCount = Math.min(taskCount, Math.floor(capacity.memoryMb / needs.memoryMb));
     }
     if (needs.gpu > 0) {
-        places = Math.min(places, Math.floor(capacity.gpu / needs.gpu));
+        taskCount = Math.min(taskCount, Math.floor(capacity.gpu / needs.gpu));
     }
-    return places;
+    return taskCount;
 }
--- a/dispatch/advice_plan.ts
+++ b/dispatch/advice_plan.ts
@@ -19,31 +19,31 @@
 import type { WorkerId } from "../job/mod.ts";
 
 /** A worker that may be asked about. */
-export interface AskedWorker {
+export interface AdviceCandidate {
     readonly id: WorkerId;
     /** Tasks of the step that it has room for now. */
-    readonly places: number;
+    readonly taskSlots: number;
 }
 
 /** What a step asks for. */
 export interface AdviceRequest {
     /** The workers, the best first. */
-    readonly workers: readonly AskedWorker[];
+    readonly workers: readonly AdviceCandidate[];
     /** Tasks that wait. */
     readonly tasks: number;
     /** Share of the workers that is admitted, from 0 to 1. */
-    readonly goodShare: number;
+    readonly admissionRate: number;
     readonly policy: AdvicePolicy;
 }
 
 /** The most workers named in one call (the service's limit). */
-const MAX_NAMES = 100;
+const MAX_WORKERS_PER_CALL = 100;
 /** Names in one call at the least: what one call costs hardly depends on fewer. */
-const MIN_NAMES = 30;
+const MIN_WORKERS_PER_CALL = 30;
 /** Places asked for, as a multiple of the tasks: others take most of them until the answer is there. */
-const COVER_FACTOR = 4;
+const SLOT_COVERAGE_FACTOR = 4;
 /** Calls of one step at the same time, so that one step can't take every front's turn. */
-const MAX_CALLS = 4;
+const MAX_CONCURRENT_CALLS = 4;
 
 /**
  * Plans the calls.
@@ -52,42 +52,48 @@
  * @returns The names of each call; none when there is nobody to ask about.
  */
 export function planAdvice(request: AdviceRequest): WorkerId[][] {
-    const perCall = computeNamesPerCall(request.policy);
-    const names = selectNames(request, MAX_CALLS * perCall);
-    const count = Math.ceil(names.length / perCall);
+    const workersPerCall = computeWorkersPerCall(request.policy);
+    const selected = selectWorkers(request, MAX_CONCURRENT_CALLS * workersPerCall);
+    const callCount = Math.ceil(selected.length / workersPerCall);
     // Dealt out in turn, so that each answer alone has some of the best.
-    return Array.from({ length: count }, (_none, call) =>
-        names.filter((_name, i) => i % count === call),
+    return Array.from({ length: callCount }, (_none, call) =>
+        selected.filter((_name, i) => i % callCount === call),
     );
 }
 
 /** Names beyond those that take as long as the call itself make it late; another call takes them beside it. */
-function computeNamesPerCall({ decideMs, perWorkerMs }: AdvicePolicy): number {
-    const balanced = perWorkerMs > 0 ? Math.floor(decideMs / perWorkerMs) : MAX_NAMES;
-    return Math.max(MIN_NAMES, Math.min(MAX_NAMES, balanced));
+function computeWorkersPerCall({ decideMs, perWorkerMs }: AdvicePolicy): number {
+    const balancedCount =
+        perWorkerMs > 0 ? Math.floor(decideMs / perWorkerMs) : MAX_WORKERS_PER_CALL;
+    return Math.max(MIN_WORKERS_PER_CALL, Math.min(MAX_WORKERS_PER_CALL, balancedCount));
 }
 
-function selectNames({ workers, tasks, goodShare }: AdviceRequest, most: number): WorkerId[] {
-    const names: WorkerId[] = [];
-    let expected = 0;
-    for (const { id, places } of workers) {
-        const isEnough = expected >= COVER_FACTOR * tasks && names.length >= MIN_NAMES;
-        if (isEnough || names.length >= most) {
+function selectWorkers(
+    { workers, tasks, admissionRate }: AdviceRequest,
+    maxWorkers: number,
+): WorkerId[] {
+    const selected: WorkerId[] = [];
+    let expectedSlots = 0;
+    for (const { id, taskSlots } of workers) {
+        const isCovered =
+            expectedSlots >= SLOT_COVERAGE_FACTOR * tasks &&
+            selected.length >= MIN_WORKERS_PER_CALL;
+        if (isCovered || selected.length >= maxWorkers) {
             break;
         }
-        names.push(id);
-        expected += places * goodShare;
+        selected.push(id);
+        expectedSlots += taskSlots * admissionRate;
     }
-    return names;
+    return selected;
 }
 
 /** Names after which a queue's own record outweighs the assumption. */
-const ASSUMED_NAMES = 40;
+const PRIOR_WORKER_COUNT = 40;
 /** Share of workers that is assumed to be admitted before anything is known. */
-const ASSUMED_SHARE = 0.5;
+const PRIOR_ADMISSION_RATE = 0.5;
 
 /** The share of workers that each queue's policy admits, by its answers. */
-export class GoodShares {
+export class AdmissionRates {
     readonly #counts = new Map<QueueName, { asked: number; good: number }>();
 
     /**
@@ -95,15 +101,15 @@
      *
      * @param queue The queue.
      * @param asked Workers that were asked about for the first time for their step.
-     * @param good Those of them that are admitted.
+     * @param admitted Those of them that are admitted.
      */
-    record(queue: QueueName, asked: number, good: number): void {
+    record(queue: QueueName, asked: number, admitted: number): void {
         const counts = this.#counts.get(queue) ?? {
-            asked: ASSUMED_NAMES,
-            good: ASSUMED_NAMES * ASSUMED_SHARE,
+            asked: PRIOR_WORKER_COUNT,
+            good: PRIOR_WORKER_COUNT * PRIOR_ADMISSION_RATE,
         };
         counts.asked += asked;
-        counts.good += good;
+        counts.good += admitted;
         this.#counts.set(queue, counts);
     }
 
@@ -115,6 +121,6 @@
      */
     get(queue: QueueName): number {
         const counts = this.#counts.get(queue);
-        return counts === undefined ? ASSUMED_SHARE : counts.good / counts.asked;
+        return counts === undefined ? PRIOR_ADMISSION_RATE : counts.good / counts.asked;
     }
 }
--- a/dispatch/advice_plan_test.ts
+++ b/dispatch/advice_plan_test.ts
@@ -2,25 +2,28 @@
 import type { QueueName } from "../configuration/mod.ts";
 import type { WorkerId } from "../job/mod.ts";
 import { buildQueue, buildSpec, FloorFixture } from "./_fixtures.ts";
-import { GoodShares, planAdvice, type AskedWorker } from "./advice_plan.ts";
+import { AdmissionRates, planAdvice, type AdviceCandidate } from "./advice_plan.ts";
 
 const POLICY = { decideMs: 507, perWorkerMs: 7.28, validMs: 2_500 };
 
-function buildWorkers(count: number, places: number): AskedWorker[] {
-    return Array.from({ length: count }, (_none, i) => ({ id: `w${i + 1}` as WorkerId, places }));
+function buildWorkers(count: number, taskSlots: number): AdviceCandidate[] {
+    return Array.from({ length: count }, (_none, i) => ({
+        id: `w${i + 1}` as WorkerId,
+        taskSlots,
+    }));
 }
 
 test("a wide step asks about as many workers as it needs, in calls at the same time", (t) => {
     const calls = planAdvice({
         workers: buildWorkers(380, 2),
         tasks: 40,
-        goodShare: 0.4,
+        admissionRate: 0.4,
         policy: POLICY,
     });
-    const names = calls.flat();
+    const workers = calls.flat();
     // 40 tasks four times over, 0.8 places expected of each worker named.
-    t.is(names.length, 200);
-    t.is(new Set(names).size, names.length);
+    t.is(workers.length, 200);
+    t.is(new Set(workers).size, workers.length);
     t.true(calls.length > 1);
     // The names of a call take no longer than the call itself.
     t.true(calls.every((call) => call.length * POLICY.perWorkerMs <= POLICY.decideMs));
@@ -30,7 +33,7 @@
     const calls = planAdvice({
         workers: buildWorkers(380, 3),
         tasks: 2,
-        goodShare: 0.7,
+        admissionRate: 0.7,
         policy: { decideMs: 20.8, perWorkerMs: 0.3, validMs: 2_500 },
     });
     t.deepEqual(calls, [buildWorkers(30, 0).map(({ id }) => id)]);
@@ -40,7 +43,7 @@
     const calls = planAdvice({
         workers: buildWorkers(1_000, 0),
         tasks: 40,
-        goodShare: 0.4,
+        admissionRate: 0.4,
         policy: POLICY,
     });
     t.is(calls.length, 4);
@@ -48,17 +51,17 @@
 });
 
 test("nobody to ask about means no call", (t) => {
-    t.deepEqual(planAdvice({ workers: [], tasks: 3, goodShare: 1, policy: POLICY }), []);
+    t.deepEqual(planAdvice({ workers: [], tasks: 3, admissionRate: 1, policy: POLICY }), []);
 });
 
 test("a queue's share of good workers follows its answers", (t) => {
-    const shares = new GoodShares();
+    const rates = new AdmissionRates();
     const queue = "composites" as QueueName;
-    t.is(shares.get(queue), 0.5);
+    t.is(rates.get(queue), 0.5);
     for (let i = 0; i < 50; i++) {
-        shares.record(queue, 100, 35);
+        rates.record(queue, 100, 35);
     }
-    t.true(Math.abs(shares.get(queue) - 0.35) < 0.01);
+    t.true(Math.abs(rates.get(queue) - 0.35) < 0.01);
 });
 
 test("a gang wider than one call's answers starts as soon as its workers' tickets are there", (t) => {
@@ -66,7 +69,7 @@
     // each. A call names a hundred and takes 1.2 s, and tickets hold 2.5 s. Asked one call after another, the
     // first tickets have run out when the last ones come, and the gang starts late or never.
     const queue = buildQueue({ advice: POLICY });
-    const floor = new FloorFixture({
+    const cluster = new FloorFixture({
         workers: 300,
         fronts: 20,
         queues: [queue],
@@ -75,7 +78,7 @@
         isAdmitted: (_step, worker) => Number(worker.slice(1)) % 3 === 0,
     });
     const needs = { cpu: 9_000, memoryMb: 1_000, gpu: 0 };
-    floor.submit("00000000000000a1", buildSpec({ count: 85, isGang: true, needs }));
-    floor.runFor(3_500);
-    t.is(floor.getState("00000000000000a1"), "complete");
+    cluster.submit("00000000000000a1", buildSpec({ count: 85, isGang: true, needs }));
+    cluster.runFor(3_500);
+    t.is(cluster.getState("00000000000000a1"), "complete");
 });
--- a/dispatch/advice_desk.ts
+++ b/dispatch/advice_scheduler.ts
@@ -3,7 +3,7 @@
  *
  * @example
  * ```ts
- * import { AdviceDesk } from "./advice_desk.ts";
+ * import { AdviceDesk } from "./advice_scheduler.ts";
  * const desk = new AdviceDesk();
  * desk.setLanes(["front-1" as LaneId]);
  * desk.addCall(call, now);
@@ -20,18 +20,18 @@
 /** A call this short may follow another on a lane before that one is answered, in ms. */
 const SHORT_CALL_MS = 60;
 /** Calls under way on one lane when they are short: hides the way between the instances. */
-const SHORT_CALLS_PER_LANE = 2;
+const MAX_SHORT_CALLS_PER_LANE = 2;
 /** Time constant of the measured load, in ms: several bursts, so that lanes seldom change hands. */
-const LOAD_WINDOW_MS = 10_000;
+const LOAD_TIME_CONSTANT_MS = 10_000;
 /** Time between two plans, in ms. */
-const PLAN_EVERY_MS = 2_000;
+const PLAN_INTERVAL_MS = 2_000;
 /**
  * Load of the most urgent queues counts this many times: at a third of its lanes' time a call
  * waits for less than half of another one.
  */
-const URGENT_WEIGHT = 2.5;
+const URGENT_LOAD_WEIGHT = 2.5;
 /** A lane whose call got no answer is left alone this long, in ms. */
-const FAILED_LANE_PAUSE_MS = 1_500;
+const FAILED_LANE_BACKOFF_MS = 1_500;
 
 interface Lane {
     readonly id: LaneId;
@@ -41,9 +41,9 @@
 
 interface QueueLoad {
     /** Decayed sum of calls' lengths, in ms. */
-    sumMs: number;
-    at: number;
-    callMs: number;
+    decayedCallMs: number;
+    updatedAt: number;
+    lastCallMs: number;
     priority: number;
 }
 
@@ -66,12 +66,12 @@
 }
 
 /** Calls that wait and calls under way. */
-export class AdviceDesk {
+export class AdviceScheduler {
     readonly #lanes = new Map<LaneId, Lane>();
     readonly #waiting = new Map<number, WaitingCall>();
     readonly #started = new Map<number, StartedCall>();
     readonly #loads = new Map<QueueName, QueueLoad>();
-    #plan = new Map<QueueName, LaneId[]>();
+    #lanePlan = new Map<QueueName, LaneId[]>();
     #plannedAt = Number.NEGATIVE_INFINITY;
 
     /**
@@ -103,10 +103,15 @@
      */
     addCall(call: AdviceCall, priority: number, now: number): void {
         this.#waiting.set(call.id, { call, addedAt: now });
-        const load = this.#loads.get(call.queue) ?? { sumMs: 0, at: now, callMs: 0, priority };
-        load.callMs = computeCallMs(call);
-        load.sumMs = decayLoad(load, now) + load.callMs;
-        load.at = now;
+        const load = this.#loads.get(call.queue) ?? {
+            decayedCallMs: 0,
+            updatedAt: now,
+            lastCallMs: 0,
+            priority,
+        };
+        load.lastCallMs = computeCallMs(call);
+        load.decayedCallMs = decayLoad(load, now) + load.lastCallMs;
+        load.updatedAt = now;
         load.priority = priority;
         if (!this.#loads.has(call.queue)) {
             this.#loads.set(call.queue, load);
@@ -133,7 +138,7 @@
      * @param now Our clock, in ms.
      * @returns The calls to make, with their lanes.
      */
-    takeCalls(now: number): { readonly lane: LaneId; readonly call: AdviceCall }[] {
+    startCalls(now: number): { readonly lane: LaneId; readonly call: AdviceCall }[] {
         if (this.#waiting.size === 0 || this.#lanes.size === 0) {
             return [];
         }
@@ -168,7 +173,7 @@
         this.#started.delete(id);
         started.lane.calls.delete(id);
         if (!hasAnswer) {
-            started.lane.pausedUntil = now + FAILED_LANE_PAUSE_MS;
+            started.lane.pausedUntil = now + FAILED_LANE_BACKOFF_MS;
         }
         return {
             queuedMs: Math.round(started.startedAt - started.addedAt),
@@ -177,18 +182,19 @@
     }
 
     #findLane(call: AdviceCall, now: number): Lane | undefined {
-        const own = this.#plan.get(call.queue) ?? [];
+        const assignedLanes = this.#lanePlan.get(call.queue) ?? [];
         const callMs = computeCallMs(call);
-        const limit = callMs <= SHORT_CALL_MS ? SHORT_CALLS_PER_LANE : 1;
-        const lane = this.#findIdlest(own, limit, now);
+        const maxCalls = callMs <= SHORT_CALL_MS ? MAX_SHORT_CALLS_PER_LANE : 1;
+        const lane = this.#findLeastLoadedLane(assignedLanes, maxCalls, now);
         if (lane !== undefined) {
             return lane;
         }
         // A short call may use an idle lane of a slower queue, never the other way round: the
         // slow call would hold up the short ones that the lane is kept for.
-        for (const [queue, lanes] of this.#plan) {
-            const ownerMs = this.#loads.get(queue)?.callMs ?? 0;
-            const borrowed = ownerMs >= callMs ? this.#findIdlest(lanes, 1, now) : undefined;
+        for (const [queue, lanes] of this.#lanePlan) {
+            const ownerCallMs = this.#loads.get(queue)?.lastCallMs ?? 0;
+            const borrowed =
+                ownerCallMs >= callMs ? this.#findLeastLoadedLane(lanes, 1, now) : undefined;
             if (borrowed !== undefined) {
                 return borrowed;
             }
@@ -196,34 +202,38 @@
         return undefined;
     }
 
-    #findIdlest(ids: readonly LaneId[], limit: number, now: number): Lane | undefined {
-        let best: Lane | undefined;
+    #findLeastLoadedLane(ids: readonly LaneId[], maxCalls: number, now: number): Lane | undefined {
+        let leastLoaded: Lane | undefined;
         for (const id of ids) {
             const lane = this.#lanes.get(id);
-            const isFree = lane !== undefined && lane.pausedUntil <= now && lane.calls.size < limit;
-            if (isFree && lane.calls.size < (best?.calls.size ?? limit)) {
-                best = lane;
+            const isFree =
+                lane !== undefined && lane.pausedUntil <= now && lane.calls.size < maxCalls;
+            if (isFree && lane.calls.size < (leastLoaded?.calls.size ?? maxCalls)) {
+                leastLoaded = lane;
             }
         }
-        return best;
+        return leastLoaded;
     }
 
     #updatePlan(now: number): void {
-        if (now - this.#plannedAt < PLAN_EVERY_MS) {
+        if (now - this.#plannedAt < PLAN_INTERVAL_MS) {
             return;
         }
         this.#plannedAt = now;
-        const urgent = Math.min(...[...this.#loads.values()].map((load) => load.priority));
+        const mostUrgentPriority = Math.min(
+            ...[...this.#loads.values()].map((load) => load.priority),
+        );
         const demands: LaneDemand[] = [...this.#loads]
             .sort(([a], [b]) => (a < b ? -1 : 1))
             .map(([queue, load]) => ({
                 queue,
                 // Before anything was measured the length of a call stands in for its load.
                 load:
-                    (decayLoad(load, now) / LOAD_WINDOW_MS + load.callMs / LOAD_WINDOW_MS) *
-                    (load.priority === urgent ? URGENT_WEIGHT : 1),
+                    (decayLoad(load, now) / LOAD_TIME_CONSTANT_MS +
+                        load.lastCallMs / LOAD_TIME_CONSTANT_MS) *
+                    (load.priority === mostUrgentPriority ? URGENT_LOAD_WEIGHT : 1),
             }));
-        this.#plan = planLanes([...this.#lanes.keys()].sort(), demands);
+        this.#lanePlan = planLanes([...this.#lanes.keys()].sort(), demands);
     }
 }
 
@@ -238,5 +248,5 @@
 }
 
 function decayLoad(load: QueueLoad, now: number): number {
-    return load.sumMs * Math.exp(-(now - load.at) / LOAD_WINDOW_MS);
+    return load.decayedCallMs * Math.exp(-(now - load.updatedAt) / LOAD_TIME_CONSTANT_MS);
 }
--- a/dispatch/advice_desk_test.ts
+++ b/dispatch/advice_scheduler_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import type { QueueName } from "../configuration/mod.ts";
 import type { WorkerId } from "../job/mod.ts";
-import { AdviceDesk } from "./advice_desk.ts";
+import { AdviceScheduler } from "./advice_scheduler.ts";
 import { planLanes } from "./lane_plan.ts";
 import type { AdviceCall, LaneId, StepKey } from "./types.ts";
 
@@ -41,28 +41,28 @@
 test("a burst of slow calls leaves the urgent queue's lanes free", (t) => {
     // Pattern: many wide jobs at once, each with a call of 0.7 s, while small urgent ones come
     // 30 a second. A small one whose call stands behind a slow one has missed its objective.
-    const desk = new AdviceDesk();
-    desk.setLanes(LANES);
-    desk.addCall(buildCall(1, FAST, 15), 0, 0);
-    desk.takeCalls(0).forEach(({ call }) => desk.endCall(call.id, true, 15));
+    const scheduler = new AdviceScheduler();
+    scheduler.setLanes(LANES);
+    scheduler.addCall(buildCall(1, FAST, 15), 0, 0);
+    scheduler.startCalls(0).forEach(({ call }) => scheduler.endCall(call.id, true, 15));
     for (let id = 2; id < 30; id++) {
-        desk.addCall(buildCall(id, SLOW, 700), 1, 20);
+        scheduler.addCall(buildCall(id, SLOW, 700), 1, 20);
     }
-    t.true(desk.takeCalls(20).length < LANES.length);
-    desk.addCall(buildCall(100, FAST, 15), 0, 21);
+    t.true(scheduler.startCalls(20).length < LANES.length);
+    scheduler.addCall(buildCall(100, FAST, 15), 0, 21);
     t.deepEqual(
-        desk.takeCalls(21).map(({ call }) => call.id),
+        scheduler.startCalls(21).map(({ call }) => call.id),
         [100],
     );
 });
 
 test("a call without an answer leaves its lane alone for a while", (t) => {
-    const desk = new AdviceDesk();
-    desk.setLanes(["f1" as LaneId]);
-    desk.addCall(buildCall(1, FAST, 15), 0, 0);
-    t.is(desk.takeCalls(0).length, 1);
-    desk.endCall(1, false, 100);
-    desk.addCall(buildCall(2, FAST, 15), 0, 100);
-    t.is(desk.takeCalls(100).length, 0);
-    t.is(desk.takeCalls(5_000).length, 1);
+    const scheduler = new AdviceScheduler();
+    scheduler.setLanes(["f1" as LaneId]);
+    scheduler.addCall(buildCall(1, FAST, 15), 0, 0);
+    t.is(scheduler.startCalls(0).length, 1);
+    scheduler.endCall(1, false, 100);
+    scheduler.addCall(buildCall(2, FAST, 15), 0, 100);
+    t.is(scheduler.startCalls(100).length, 0);
+    t.is(scheduler.startCalls(5_000).length, 1);
 });
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -153,7 +153,7 @@
             });
             return problem;
         }
-        this.#context.record({ type: "jobAccepted", ...submission });
+        this.#context.recordFact({ type: "jobAccepted", ...submission });
         const job = this.#context.ledger.jobs.get(submission.job);
         if (job !== undefined) {
             this.#context.board.openJob(job);
@@ -179,7 +179,7 @@
             return false;
         }
         if (job.endedAt === undefined) {
-            this.#context.record({ type: "jobCancelled", job: id });
+            this.#context.recordFact({ type: "jobCancelled", job: id });
             this.#context.recordDecision("decision", "job cancelled", { request: id });
             this.#attempts.closeJob(job);
         }
@@ -197,7 +197,7 @@
         if (current !== undefined && configuration.version <= current) {
             return false;
         }
-        this.#context.record({ type: "configurationSet", configuration });
+        this.#context.recordFact({ type: "configurationSet", configuration });
         this.#context.recordDecision("milestone", "configuration set", {
             version: configuration.version,
             before: current,
@@ -243,7 +243,7 @@
             return;
         }
         if (known === undefined || !isSameReport(known, updated)) {
-            this.#context.record({ type: "workerSeen", worker: updated });
+            this.#context.recordFact({ type: "workerSeen", worker: updated });
             this.#context.recordDecision(
                 "decision",
                 known === undefined ? "worker joined" : "worker changed",
@@ -282,7 +282,7 @@
         const hasCapacityChange =
             previousCapacity !== undefined && !isSameResources(previousCapacity, confirmed);
         if (!wasUsable || hasCapacityChange) {
-            this.#context.recordRoom(worker);
+            this.#context.recordFreedCapacity(worker);
         }
     }
 
@@ -324,7 +324,7 @@
      * @param lanes The instances.
      */
     setLanes(lanes: readonly LaneId[]): void {
-        this.#context.desk.setLanes(lanes);
+        this.#context.adviceScheduler.setLanes(lanes);
         this.#context.isDirty = true;
     }
 
@@ -403,7 +403,7 @@
         }
         this.#evacuator.drainWorker(worker, now);
         if (worker.pausedUntil > this.#tickedAt && worker.pausedUntil <= now) {
-            this.#context.recordRoom(worker);
+            this.#context.recordFreedCapacity(worker);
         }
         const isIdle = worker.members.size === 0;
         if (
@@ -427,7 +427,7 @@
             return;
         }
         this.#clocksRecordedAt = now;
-        this.#context.record({ type: "workersHeard", reports: [...this.#unrecordedClocks] });
+        this.#context.recordFact({ type: "workersHeard", reports: [...this.#unrecordedClocks] });
         this.#unrecordedClocks.clear();
     }
 
@@ -435,7 +435,7 @@
         const before = this.#context.clock.getWallTime() - this.#context.limits.retentionMs;
         for (const job of this.#context.ledger.jobs.values()) {
             if (job.endedAt !== undefined && job.endedAt < before && job.occurrences.size === 0) {
-                this.#context.record({ type: "jobsForgotten", before });
+                this.#context.recordFact({ type: "jobsForgotten", before });
                 return;
             }
         }
--- a/dispatch/evacuation.ts
+++ b/dispatch/evacuation.ts
@@ -18,12 +18,12 @@
  * Estimates are off by half and more, and a worker often stays longer than it must: work goes only
  * when it needs this many times the time that is left.
  */
-const OVERRUN_FACTOR = 1.3;
+const ESTIMATE_OVERRUN_FACTOR = 1.3;
 /** From this progress on the pace so far tells more than the caller's estimate, in percent. */
-const MIN_TELLING_PERCENT = 10;
+const MIN_PROGRESS_PERCENT = 10;
 
 /** When a worker leaves. */
-export interface LeavingTime {
+export interface Departure {
     /** Our clock, in ms. */
     readonly now: number;
     /** When the worker may end, at the earliest, on our clock in ms. */
@@ -37,12 +37,13 @@
  * @param time When it leaves.
  * @returns Running tasks that cannot be done before; tasks that last are always among them.
  */
-export function selectEvacuees(members: Iterable<MemberRun>, time: LeavingTime): MemberRun[] {
-    const leftMs = Math.max(0, time.leavesAt - time.now);
+export function selectForEvacuation(members: Iterable<MemberRun>, time: Departure): MemberRun[] {
+    const remainingMs = Math.max(0, time.leavesAt - time.now);
     return [...members].filter(
         (member) =>
             member.state === "running" &&
-            (member.isPerpetual || computeNeededMs(member, time.now) > leftMs * OVERRUN_FACTOR),
+            (member.isPerpetual ||
+                computeRemainingMs(member, time.now) > remainingMs * ESTIMATE_OVERRUN_FACTOR),
     );
 }
 
@@ -53,11 +54,11 @@
  * @param now Our clock, in ms.
  * @returns Ms; 0 when it should be done already.
  */
-export function computeNeededMs(member: MemberRun, now: number): number {
-    const ranMs = member.progressAt - member.startedAt;
-    const wholeMs =
-        member.progressPercent >= MIN_TELLING_PERCENT && ranMs > 0
-            ? ranMs / (member.progressPercent / 100)
+export function computeRemainingMs(member: MemberRun, now: number): number {
+    const elapsedMs = member.progressAt - member.startedAt;
+    const totalMs =
+        member.progressPercent >= MIN_PROGRESS_PERCENT && elapsedMs > 0
+            ? elapsedMs / (member.progressPercent / 100)
             : member.estimateMs;
-    return Math.max(0, wholeMs - (now - member.startedAt));
+    return Math.max(0, totalMs - (now - member.startedAt));
 }
--- a/dispatch/evacuation_test.ts
+++ b/dispatch/evacuation_test.ts
@@ -7,55 +7,55 @@
 
 /** A floor of two workers with a job on the first one, which then announces that it leaves. */
 function drainFirstWorker(options: { readonly taskMs: number; readonly leavesInMs: number }) {
-    const floor = new FloorFixture({ workers: 1, taskMs: options.taskMs });
-    floor.submit(JOB, buildSpec({ count: 2, estimateMs: options.taskMs, savesProgress: true }));
-    floor.runFor(200);
-    floor.addWorker("w2" as WorkerId, "10.0.0.2:80");
-    floor.drainWorker(LEAVING, options.leavesInMs);
-    return floor;
+    const cluster = new FloorFixture({ workers: 1, taskMs: options.taskMs });
+    cluster.submit(JOB, buildSpec({ count: 2, estimateMs: options.taskMs, savesProgress: true }));
+    cluster.runFor(200);
+    cluster.addWorker("w2" as WorkerId, "10.0.0.2:80");
+    cluster.drainWorker(LEAVING, options.leavesInMs);
+    return cluster;
 }
 
 test("work that cannot be done before its worker leaves goes elsewhere at once", (t) => {
     // The caller of a 5 s job sees it done seconds later than need be: the worker announces that it
     // ends in 3 s, the tasks run on there, are lost with it, and only then start elsewhere.
-    const floor = drainFirstWorker({ taskMs: 5_000, leavesInMs: 3_000 });
-    floor.runFor(2_600);
+    const cluster = drainFirstWorker({ taskMs: 5_000, leavesInMs: 3_000 });
+    cluster.runFor(2_600);
     t.deepEqual(
-        floor.runs.map((run) => run.worker),
+        cluster.runs.map((run) => run.worker),
         [LEAVING, LEAVING, "w2", "w2"],
     );
-    t.deepEqual(floor.violations, []);
+    t.deepEqual(cluster.violations, []);
 });
 
 test("work that can be done in time stays", (t) => {
-    const floor = drainFirstWorker({ taskMs: 2_500, leavesInMs: 4_000 });
-    floor.runFor(4_000);
-    t.is(floor.runs.length, 2);
-    t.is(floor.getState(JOB), "complete");
+    const cluster = drainFirstWorker({ taskMs: 2_500, leavesInMs: 4_000 });
+    cluster.runFor(4_000);
+    t.is(cluster.runs.length, 2);
+    t.is(cluster.getState(JOB), "complete");
 });
 
 test("nothing is stopped while no other worker has room for it", (t) => {
     // A full floor: stopped here it would wait there, and the worker may stay longer than it must.
-    const floor = new FloorFixture({ workers: 1, taskMs: 5_000 });
-    floor.submit(JOB, buildSpec({ count: 2, estimateMs: 5_000, savesProgress: true }));
-    floor.runFor(200);
-    floor.drainWorker(LEAVING, 3_000);
-    floor.runFor(2_600);
+    const cluster = new FloorFixture({ workers: 1, taskMs: 5_000 });
+    cluster.submit(JOB, buildSpec({ count: 2, estimateMs: 5_000, savesProgress: true }));
+    cluster.runFor(200);
+    cluster.drainWorker(LEAVING, 3_000);
+    cluster.runFor(2_600);
     t.deepEqual(
-        floor.workers.get(LEAVING)?.runs.map((run) => run.stopsAt),
+        cluster.workers.get(LEAVING)?.runs.map((run) => run.stopsAt),
         [undefined, undefined],
     );
 });
 
 test("a task that lasts moves before its worker leaves", (t) => {
-    const floor = new FloorFixture({ workers: 1, taskMs: 1e9 });
-    floor.submit(JOB, buildSpec({ count: 1, isPerpetual: true }));
-    floor.runFor(200);
-    floor.addWorker("w2" as WorkerId, "10.0.0.2:80");
-    floor.drainWorker(LEAVING, 3_000);
-    floor.runFor(2_600);
+    const cluster = new FloorFixture({ workers: 1, taskMs: 1e9 });
+    cluster.submit(JOB, buildSpec({ count: 1, isPerpetual: true }));
+    cluster.runFor(200);
+    cluster.addWorker("w2" as WorkerId, "10.0.0.2:80");
+    cluster.drainWorker(LEAVING, 3_000);
+    cluster.runFor(2_600);
     t.deepEqual(
-        floor.runs.map((run) => run.worker),
+        cluster.runs.map((run) => run.worker),
         [LEAVING, "w2"],
     );
 });
--- a/dispatch/lane_plan.ts
+++ b/dispatch/lane_plan.ts
@@ -35,34 +35,34 @@
     demands: readonly LaneDemand[],
 ): Map<QueueName, LaneId[]> {
     const counts = demands.map(() => 1);
-    for (let given = demands.length; given < lanes.length; given++) {
-        const next = findMostLoaded(demands, counts);
-        counts[next] = (counts[next] ?? 0) + 1;
+    for (let assignedCount = demands.length; assignedCount < lanes.length; assignedCount++) {
+        const mostLoaded = findMostLoaded(demands, counts);
+        counts[mostLoaded] = (counts[mostLoaded] ?? 0) + 1;
     }
     const plan = new Map<QueueName, LaneId[]>();
-    let at = 0;
+    let nextLane = 0;
     demands.forEach((demand, i) => {
-        const own: LaneId[] = [];
+        const queueLanes: LaneId[] = [];
         for (let k = 0; k < (counts[i] ?? 0); k++) {
-            const lane = lanes[at++ % Math.max(1, lanes.length)];
-            if (lane !== undefined && !own.includes(lane)) {
-                own.push(lane);
+            const lane = lanes[nextLane++ % Math.max(1, lanes.length)];
+            if (lane !== undefined && !queueLanes.includes(lane)) {
+                queueLanes.push(lane);
             }
         }
-        plan.set(demand.queue, own);
+        plan.set(demand.queue, queueLanes);
     });
     return plan;
 }
 
 function findMostLoaded(demands: readonly LaneDemand[], counts: readonly number[]): number {
-    let best = 0;
-    let bestLoad = -1;
+    let mostLoaded = 0;
+    let maxLoad = -1;
     demands.forEach((demand, i) => {
         const load = demand.load / (counts[i] ?? 1);
-        if (load > bestLoad) {
-            best = i;
-            bestLoad = load;
+        if (load > maxLoad) {
+            mostLoaded = i;
+            maxLoad = load;
         }
     });
-    return best;
+    return mostLoaded;
 }
--- a/dispatch/matching_test.ts
+++ b/dispatch/matching_test.ts
@@ -12,8 +12,8 @@
 const WAITING = "00000000000000b2";
 const WHOLE = { cpu: 16_000, memoryMb: 1_000, gpu: 0 };
 
-function countStarts(floor: FloorFixture, job: string): number {
-    return floor.runs.filter((run) => run.task.startsWith(job)).length;
+function countStarts(cluster: FloorFixture, job: string): number {
+    return cluster.runs.filter((run) => run.task.startsWith(job)).length;
 }
 
 function buildRecord(id: string) {
@@ -48,77 +48,79 @@
 });
 
 test("a waiting task starts as soon as one that filled its worker has ended", (t) => {
-    const floor = new FloorFixture({ workers: 2, taskMs: 600 });
-    floor.submit(FULL, buildSpec({ count: 2, needs: WHOLE }));
-    floor.runFor(100);
-    floor.submit(WAITING, buildSpec({ count: 1, needs: WHOLE }));
-    floor.runFor(400);
-    t.is(countStarts(floor, WAITING), 0);
-    floor.runFor(300);
-    t.is(countStarts(floor, WAITING), 1);
+    const cluster = new FloorFixture({ workers: 2, taskMs: 600 });
+    cluster.submit(FULL, buildSpec({ count: 2, needs: WHOLE }));
+    cluster.runFor(100);
+    cluster.submit(WAITING, buildSpec({ count: 1, needs: WHOLE }));
+    cluster.runFor(400);
+    t.is(countStarts(cluster, WAITING), 0);
+    cluster.runFor(300);
+    t.is(countStarts(cluster, WAITING), 1);
 });
 
 test("a waiting task starts when the pause of the only worker with room is over", (t) => {
     // Nothing ends and nobody announces anything at that moment: the clock alone makes the worker usable.
-    const floor = new FloorFixture({
+    const cluster = new FloorFixture({
         workers: 1,
         taskMs: 100,
         getEnd: (task) => (task.startsWith(WAITING) ? "done" : "failed"),
     });
-    floor.submit(FULL, buildSpec({ count: 1 }));
-    floor.submit("00000000000000c3", buildSpec({ count: 1 }));
-    floor.runFor(700);
-    floor.submit(WAITING, buildSpec({ count: 1 }));
-    floor.runFor(100);
-    t.is(countStarts(floor, WAITING), 0);
-    floor.runFor(9_000);
-    t.is(floor.getState(WAITING), "complete");
+    cluster.submit(FULL, buildSpec({ count: 1 }));
+    cluster.submit("00000000000000c3", buildSpec({ count: 1 }));
+    cluster.runFor(700);
+    cluster.submit(WAITING, buildSpec({ count: 1 }));
+    cluster.runFor(100);
+    t.is(countStarts(cluster, WAITING), 0);
+    cluster.runFor(9_000);
+    t.is(cluster.getState(WAITING), "complete");
 });
 
 test("a waiting task starts on a worker that joins, and on one that answers again", (t) => {
     let isSilent = true;
-    const floor = new FloorFixture({
+    const cluster = new FloorFixture({
         workers: 1,
         taskMs: 300,
         getFault: (_kind, worker) =>
             isSilent && worker === "w1" ? { type: "lost" } : { type: "none" },
     });
-    floor.submit(WAITING, buildSpec({ count: 1, needs: WHOLE }));
-    floor.runFor(2_000);
-    t.is(countStarts(floor, WAITING), 0);
-    floor.addWorker("w2" as WorkerId, "10.0.0.2:80");
-    floor.submit(FULL, buildSpec({ count: 1, needs: WHOLE }));
-    floor.runFor(2_000);
-    t.is(floor.getState(FULL), "complete");
+    cluster.submit(WAITING, buildSpec({ count: 1, needs: WHOLE }));
+    cluster.runFor(2_000);
+    t.is(countStarts(cluster, WAITING), 0);
+    cluster.addWorker("w2" as WorkerId, "10.0.0.2:80");
+    cluster.submit(FULL, buildSpec({ count: 1, needs: WHOLE }));
+    cluster.runFor(2_000);
+    t.is(cluster.getState(FULL), "complete");
     isSilent = false;
-    floor.runFor(4_000);
-    t.is(floor.getState(WAITING), "complete");
+    cluster.runFor(4_000);
+    t.is(cluster.getState(WAITING), "complete");
 });
 
 test("a task whose ticket ran out while it waited asks again and starts", (t) => {
     // The advice is good for 500 ms, the only good worker is full for 2 s.
     const queue = buildQueue({ advice: { decideMs: 20, perWorkerMs: 0, validMs: 500 } });
-    const floor = new FloorFixture({
+    const cluster = new FloorFixture({
         workers: 1,
         queues: [queue],
         computeTaskMs: (task) => (task.startsWith(FULL) ? 2_000 : 200),
     });
-    floor.submit(FULL, buildSpec({ count: 1, needs: WHOLE }), QUEUE);
-    floor.runFor(100);
-    floor.submit(WAITING, buildSpec({ count: 1, needs: WHOLE }), QUEUE);
-    floor.runFor(3_000);
-    t.is(floor.getState(WAITING), "complete");
-    t.deepEqual(floor.violations, []);
+    cluster.submit(FULL, buildSpec({ count: 1, needs: WHOLE }), QUEUE);
+    cluster.runFor(100);
+    cluster.submit(WAITING, buildSpec({ count: 1, needs: WHOLE }), QUEUE);
+    cluster.runFor(3_000);
+    t.is(cluster.getState(WAITING), "complete");
+    t.deepEqual(cluster.violations, []);
 });
 
 test("a backlog of hundreds of jobs drains in order of age, none forgotten", (t) => {
-    const floor = new FloorFixture({ workers: 4, taskMs: 50, isChecked: false });
+    const cluster = new FloorFixture({ workers: 4, taskMs: 50, isChecked: false });
     const ids = Array.from({ length: 300 }, (_unused, i) => (i + 1).toString(16).padStart(16, "0"));
-    ids.forEach((id) => floor.submit(id, { ...buildSpec(), steps: [buildStep({ needs: WHOLE })] }));
-    floor.runFor(30_000);
-    t.true(ids.every((id) => floor.getState(id) === "complete"));
+    ids.forEach((id) =>
+        cluster.submit(id, { ...buildSpec(), steps: [buildStep({ needs: WHOLE })] }),
+    );
+    cluster.runFor(30_000);
+    t.true(ids.every((id) => cluster.getState(id) === "complete"));
     t.deepEqual(
-        floor.runs.map((run) => run.task.slice(0, 16)),
+        cluster.runs.map((run) => run.task.slice(0, 16)),
         ids,
     );
 });
--- a/dispatch/mod.ts
+++ b/dispatch/mod.ts
@@ -11,7 +11,7 @@
  */
 
 export * from "./admission.ts";
-export * from "./advice_desk.ts";
+export * from "./advice_scheduler.ts";
 export * from "./dispatcher.ts";
 export * from "./evacuation.ts";
 export * from "./lane_plan.ts";
--- a/dispatch/placement.ts
+++ b/dispatch/placement.ts
@@ -20,13 +20,13 @@
     readonly rack: string;
     readonly zone: string;
     /** Tasks of the step that it runs already. */
-    sameStep: number;
+    tasksOfStep: number;
     /** It holds the step's data. */
-    readonly isNear: boolean;
+    readonly isDataLocal: boolean;
     /** How much slower it works than the others, 1 for as fast. */
     readonly slowness: number;
     /** The last task that ended there failed. */
-    readonly isDoubtful: boolean;
+    readonly hasRecentFailure: boolean;
 }
 
 /** What is to be placed at once. */
@@ -43,9 +43,9 @@
     readonly zoneRanks?: ReadonlyMap<string, number>;
 }
 
-interface Slot {
+interface WorkerSlots {
     readonly candidate: Candidate;
-    readonly fits: number;
+    readonly taskCount: number;
 }
 
 /**
@@ -61,8 +61,8 @@
     }
     const racks = new Set(request.candidates.map((c) => c.rack));
     for (const rack of racks) {
-        const within = request.candidates.filter((c) => c.rack === rack);
-        const chosen = fillWorkers(request, within);
+        const sameRack = request.candidates.filter((c) => c.rack === rack);
+        const chosen = fillWorkers(request, sameRack);
         if (chosen !== undefined) {
             return chosen;
         }
@@ -75,12 +75,12 @@
     request: PlacementRequest,
     candidates: readonly Candidate[],
 ): WorkerId[] | undefined {
-    const slots: Slot[] = [];
+    const slots: WorkerSlots[] = [];
     let total = 0;
     for (const candidate of candidates) {
-        const fits = countFitting(request, candidate);
+        const fits = countAllowedTasks(request, candidate);
         if (fits > 0) {
-            slots.push({ candidate, fits });
+            slots.push({ candidate, taskCount: fits });
             total += fits;
         }
     }
@@ -88,12 +88,13 @@
         return undefined;
     }
     if (request.count === 1) {
-        const compare = (a: Slot, b: Slot): Slot => (compareSlots(b, a, request) < 0 ? b : a);
+        const compare = (a: WorkerSlots, b: WorkerSlots): WorkerSlots =>
+            compareSlots(b, a, request) < 0 ? b : a;
         return [slots.reduce(compare).candidate.id];
     }
     slots.sort((a, b) => compareSlots(a, b, request));
     const chosen: WorkerId[] = [];
-    for (const { candidate, fits } of slots) {
+    for (const { candidate, taskCount: fits } of slots) {
         for (let i = 0; i < fits && chosen.length < request.count; i++) {
             chosen.push(candidate.id);
         }
@@ -101,49 +102,54 @@
     return chosen;
 }
 
-function countFitting(request: PlacementRequest, candidate: Candidate): number {
-    const places = countPlaces(candidate.free, request.needs);
+function countAllowedTasks(request: PlacementRequest, candidate: Candidate): number {
+    const fitting = countFittingTasks(candidate.free, request.needs);
     const allowed =
-        request.maxPerWorker > 0 ? request.maxPerWorker - candidate.sameStep : request.count;
-    return Math.max(0, Math.min(places, allowed, request.count));
+        request.maxPerWorker > 0 ? request.maxPerWorker - candidate.tasksOfStep : request.count;
+    return Math.max(0, Math.min(fitting, allowed, request.count));
 }
 
 /**
  * Counts how many tasks a room takes.
  *
- * @param room What is there.
+ * @param capacity What is there.
  * @param needs What each task takes.
  * @returns Tasks; without a bound when they need nothing.
  */
-export function countPlaces(room: Resources, needs: Resources): number {
-    const divide = (has: number, takes: number): number =>
-        takes > 0 ? Math.floor(has / takes) : Number.MAX_SAFE_INTEGER;
-    const places = Math.min(
-        divide(room.cpu, needs.cpu),
-        divide(room.memoryMb, needs.memoryMb),
-        divide(room.gpu, needs.gpu),
+export function countFittingTasks(capacity: Resources, needs: Resources): number {
+    const countFor = (available: number, required: number): number =>
+        required > 0 ? Math.floor(available / required) : Number.MAX_SAFE_INTEGER;
+    const count = Math.min(
+        countFor(capacity.cpu, needs.cpu),
+        countFor(capacity.memoryMb, needs.memoryMb),
+        countFor(capacity.gpu, needs.gpu),
     );
-    return Math.max(0, places);
+    return Math.max(0, count);
 }
 
 /** Near and fast first, then by zone, then best fit, then the id so that equal workers keep their order. */
-function compareSlots(a: Slot, b: Slot, { needs, zoneRanks }: PlacementRequest): number {
-    const near = Number(b.candidate.isNear) - Number(a.candidate.isNear);
-    if (near !== 0) {
-        return near;
+function compareSlots(
+    a: WorkerSlots,
+    b: WorkerSlots,
+    { needs, zoneRanks }: PlacementRequest,
+): number {
+    const byLocality = Number(b.candidate.isDataLocal) - Number(a.candidate.isDataLocal);
+    if (byLocality !== 0) {
+        return byLocality;
     }
-    const slow = a.candidate.slowness - b.candidate.slowness;
-    if (slow !== 0) {
-        return slow;
+    const bySlowness = a.candidate.slowness - b.candidate.slowness;
+    if (bySlowness !== 0) {
+        return bySlowness;
     }
-    const zone = (zoneRanks?.get(a.candidate.zone) ?? 0) - (zoneRanks?.get(b.candidate.zone) ?? 0);
-    if (zone !== 0) {
-        return zone;
+    const byZone =
+        (zoneRanks?.get(a.candidate.zone) ?? 0) - (zoneRanks?.get(b.candidate.zone) ?? 0);
+    if (byZone !== 0) {
+        return byZone;
     }
-    const left = computeLeftOver(a, needs) - computeLeftOver(b, needs);
-    return left !== 0 ? left : a.candidate.id < b.candidate.id ? -1 : 1;
+    const byLeftoverCpu = computeLeftoverCpu(a, needs) - computeLeftoverCpu(b, needs);
+    return byLeftoverCpu !== 0 ? byLeftoverCpu : a.candidate.id < b.candidate.id ? -1 : 1;
 }
 
-function computeLeftOver(slot: Slot, needs: Resources): number {
-    return slot.candidate.free.cpu - slot.fits * needs.cpu;
+function computeLeftoverCpu(slot: WorkerSlots, needs: Resources): number {
+    return slot.candidate.free.cpu - slot.taskCount * needs.cpu;
 }
--- a/dispatch/placement_test.ts
+++ b/dispatch/placement_test.ts
@@ -9,10 +9,10 @@
         free: { cpu, memoryMb: 32_000, gpu: 0 },
         rack: "r1",
         zone: "z1",
-        sameStep: 0,
-        isNear: false,
+        tasksOfStep: 0,
+        isDataLocal: false,
         slowness: 1,
-        isDoubtful: false,
+        hasRecentFailure: false,
         ...overrides,
     };
 }
--- a/dispatch/ranking.ts
+++ b/dispatch/ranking.ts
@@ -19,13 +19,13 @@
 /** Thirty million years in ms: a priority outweighs every time. */
 const RANK_PER_PRIORITY = 1e18;
 /** Jobs that will be late go behind those of their priority that can still be in time. */
-const RANK_WHEN_LATE = 2e17;
+const LATE_RANK_OFFSET = 2e17;
 /** Jobs whose time is over go behind all others of their priority. */
-const RANK_WHEN_OVER = 4e17;
+const EXPIRED_RANK_OFFSET = 4e17;
 /** A job that took this many times its objective is worth nothing to its caller any more. */
-const WORTHLESS_FACTOR = 3;
+const EXPIRY_FACTOR = 3;
 /** Estimates are off by half and more: a job counts as over only when it surely is. */
-const ESTIMATE_MARGIN = 1.5;
+const ESTIMATE_ERROR_MARGIN = 1.5;
 
 /**
  * Ranks a step among those that wait: by its queue's priority; then jobs that can still be in time,
@@ -33,23 +33,23 @@
  *
  * @param step The step.
  * @param queue Its queue.
- * @param wall The time, in ms since 1970.
+ * @param wallMs The time, in ms since 1970.
  * @returns The rank; the smallest goes first.
  */
 export function rankStep(
     step: Pick<ReadyStep, "job" | "step">,
     queue: Pick<QueueConfig, "priority" | "stretch" | "targetLatencyMs">,
-    wall: number,
+    wallMs: number,
 ): number {
     const { acceptedAt, spec } = step.job;
-    const objective = computeObjective(spec, queue);
-    const elapsed = wall - acceptedAt;
+    const objectiveMs = computeLatencyObjectiveMs(spec, queue);
+    const elapsedMs = wallMs - acceptedAt;
     const base = queue.priority * RANK_PER_PRIORITY + acceptedAt;
-    if (elapsed > WORTHLESS_FACTOR * ESTIMATE_MARGIN * objective) {
-        return base + RANK_WHEN_OVER;
+    if (elapsedMs > EXPIRY_FACTOR * ESTIMATE_ERROR_MARGIN * objectiveMs) {
+        return base + EXPIRED_RANK_OFFSET;
     }
-    const isLate = elapsed + computeChainFrom(spec, step.step) > objective;
-    return isLate ? base + RANK_WHEN_LATE : base;
+    const isLate = elapsedMs + computeCriticalPathMs(spec, step.step) > objectiveMs;
+    return isLate ? base + LATE_RANK_OFFSET : base;
 }
 
 /**
@@ -59,22 +59,24 @@
  * @param queue Its queue.
  * @returns Ms.
  */
-export function computeObjective(
+export function computeLatencyObjectiveMs(
     spec: JobSpec | undefined,
     queue: Pick<QueueConfig, "stretch" | "targetLatencyMs">,
 ): number {
-    const chains = (spec?.steps ?? []).map((_step, i) => computeChainFrom(spec, i));
-    return queue.stretch * Math.max(0, ...chains) + queue.targetLatencyMs;
+    const pathsMs = (spec?.steps ?? []).map((_step, i) => computeCriticalPathMs(spec, i));
+    return queue.stretch * Math.max(0, ...pathsMs) + queue.targetLatencyMs;
 }
 
 /** The longest chain of steps from one on that wait for each other, in ms of their estimates. */
-function computeChainFrom(spec: JobSpec | undefined, from: number): number {
+function computeCriticalPathMs(spec: JobSpec | undefined, from: number): number {
     const steps = spec?.steps ?? [];
-    const chains = new Array<number>(steps.length).fill(0);
+    const pathsMs = new Array<number>(steps.length).fill(0);
     // Steps wait only for earlier ones, so the later ones' chains are known first.
     for (let i = steps.length - 1; i >= from; i--) {
-        const behind = steps.map((step, k) => (step.after.includes(i) ? (chains[k] ?? 0) : 0));
-        chains[i] = (steps[i]?.estimateMs ?? 0) + Math.max(0, ...behind);
+        const dependentPathsMs = steps.map((step, k) =>
+            step.after.includes(i) ? (pathsMs[k] ?? 0) : 0,
+        );
+        pathsMs[i] = (steps[i]?.estimateMs ?? 0) + Math.max(0, ...dependentPathsMs);
     }
-    return chains[from] ?? 0;
+    return pathsMs[from] ?? 0;
 }
--- a/dispatch/ranking_test.ts
+++ b/dispatch/ranking_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { buildQueue, buildSpec, FloorFixture } from "./_fixtures.ts";
-import { computeObjective, rankStep } from "./ranking.ts";
+import { computeLatencyObjectiveMs, rankStep } from "./ranking.ts";
 
 const URGENT = buildQueue({ stretch: 1.5, targetLatencyMs: 250 });
 
@@ -10,7 +10,7 @@
         { estimateMs: 900 },
         { estimateMs: 300, after: [0] },
     );
-    t.is(computeObjective(spec, URGENT), 1.5 * 900 + 250);
+    t.is(computeLatencyObjectiveMs(spec, URGENT), 1.5 * 900 + 250);
 });
 
 test("priority goes first, then use, then age", (t) => {
@@ -29,7 +29,7 @@
     // times what the floor does in the time that counts. Served in turn it would make the next
     // hundreds late too; served last it costs only those that were late already.
     let isOut = true;
-    const floor = new FloorFixture({
+    const cluster = new FloorFixture({
         workers: 2,
         taskMs: 300,
         queues: [URGENT],
@@ -40,23 +40,23 @@
     let count = 0;
     const submit = (): void => {
         const id = `00000000000${(65_536 + count++).toString(16)}`;
-        startedAt.set(id, floor.now);
-        floor.submit(id, buildSpec({ needs, estimateMs: 300 }));
+        startedAt.set(id, cluster.now);
+        cluster.submit(id, buildSpec({ needs, estimateMs: 300 }));
     };
-    for (; floor.now < 8_000; floor.runFor(50)) {
+    for (; cluster.now < 8_000; cluster.runFor(50)) {
         submit();
     }
     isOut = false;
     const fresh: string[] = [];
-    for (const end = floor.now + 6_000; floor.now < end; floor.runFor(60)) {
+    for (const end = cluster.now + 6_000; cluster.now < end; cluster.runFor(60)) {
         submit();
         fresh.push([...startedAt.keys()].at(-1) ?? "");
     }
-    floor.runFor(20_000);
+    cluster.runFor(20_000);
     const late = fresh.filter((id) => {
-        const run = floor.runs.find((r) => r.task.startsWith(id));
+        const run = cluster.runs.find((r) => r.task.startsWith(id));
         return (run?.at ?? Number.POSITIVE_INFINITY) - (startedAt.get(id) ?? 0) > 700;
     });
     t.true(late.length < fresh.length * 0.35, `${late.length} of ${fresh.length} late`);
-    t.true([...startedAt.keys()].every((id) => floor.getState(id) === "complete"));
+    t.true([...startedAt.keys()].every((id) => cluster.getState(id) === "complete"));
 });
--- a/dispatch/reservation.ts
+++ b/dispatch/reservation.ts
@@ -15,14 +15,14 @@
  */
 
 import type { Resources, WorkerId } from "../job/mod.ts";
-import { countPlaces } from "./placement.ts";
+import { countFittingTasks } from "./placement.ts";
 import type { MemberRun } from "./types.ts";
 
 /** A worker that the gang may run on. */
-export interface HoldCandidate {
+export interface ReservationCandidate {
     readonly id: WorkerId;
     /** What is free, and what less urgent work takes. */
-    readonly attainable: Resources;
+    readonly capacityAfterPreemption: Resources;
 }
 
 /**
@@ -33,27 +33,27 @@
  * @param gang What each task needs, and how many there are.
  * @returns The workers and how many tasks each is to take; empty when they could not hold the gang.
  */
-export function selectHeld(
-    candidates: readonly HoldCandidate[],
+export function selectReservedWorkers(
+    candidates: readonly ReservationCandidate[],
     gang: { readonly needs: Resources; readonly count: number },
 ): Map<WorkerId, number> {
-    const held = new Map<WorkerId, number>();
-    const places = candidates
+    const reserved = new Map<WorkerId, number>();
+    const ranked = candidates
         .map((candidate) => ({
             id: candidate.id,
-            count: countPlaces(candidate.attainable, gang.needs),
+            count: countFittingTasks(candidate.capacityAfterPreemption, gang.needs),
         }))
         .sort((a, b) => b.count - a.count);
-    let missing = gang.count;
-    for (const { id, count } of places) {
-        if (missing <= 0 || count === 0) {
+    let remainingTasks = gang.count;
+    for (const { id, count } of ranked) {
+        if (remainingTasks <= 0 || count === 0) {
             break;
         }
-        const taken = Math.min(count, missing);
-        held.set(id, taken);
-        missing -= taken;
+        const taken = Math.min(count, remainingTasks);
+        reserved.set(id, taken);
+        remainingTasks -= taken;
     }
-    return missing > 0 ? new Map() : held;
+    return remainingTasks > 0 ? new Map() : reserved;
 }
 
 /**
@@ -70,26 +70,26 @@
     missingCpu: number,
     priority: number,
 ): MemberRun[] {
-    let missing = missingCpu;
-    const movable: MemberRun[] = [];
+    let remainingCpu = missingCpu;
+    const preemptible: MemberRun[] = [];
     for (const member of members) {
         if (member.priority <= priority) {
             continue;
         }
         if (member.state === "stopping") {
-            missing -= member.reserved.cpu;
+            remainingCpu -= member.reserved.cpu;
         } else if (member.state === "running" && member.isMovable) {
-            movable.push(member);
+            preemptible.push(member);
         }
     }
-    movable.sort((a, b) => b.reserved.cpu - a.reserved.cpu);
+    preemptible.sort((a, b) => b.reserved.cpu - a.reserved.cpu);
     const victims: MemberRun[] = [];
-    for (const member of movable) {
-        if (missing <= 0) {
+    for (const member of preemptible) {
+        if (remainingCpu <= 0) {
             break;
         }
         victims.push(member);
-        missing -= member.reserved.cpu;
+        remainingCpu -= member.reserved.cpu;
     }
-    return missing > 0 ? [] : victims;
+    return remainingCpu > 0 ? [] : victims;
 }
--- a/dispatch/reservation_test.ts
+++ b/dispatch/reservation_test.ts
@@ -2,27 +2,30 @@
 import type { QueueName } from "../configuration/mod.ts";
 import type { WorkerId } from "../job/mod.ts";
 import { buildQueue, buildSpec, FloorFixture } from "./_fixtures.ts";
-import { selectHeld } from "./reservation.ts";
+import { selectReservedWorkers } from "./reservation.ts";
 
 const GANGS = "composites" as QueueName;
 const BATCHES = "batches" as QueueName;
 
 function buildCandidate(id: string, cpu: number) {
-    return { id: id as WorkerId, attainable: { cpu, memoryMb: 32_000, gpu: 0 } };
+    return { id: id as WorkerId, capacityAfterPreemption: { cpu, memoryMb: 32_000, gpu: 0 } };
 }
 
 test("just enough workers are held, and none for a gang that can not fit", (t) => {
     const candidates = [buildCandidate("a", 4_000), buildCandidate("b", 16_000)];
     const needs = { cpu: 4_000, memoryMb: 1_000, gpu: 0 };
-    t.deepEqual([...selectHeld(candidates, { needs, count: 4 })], [["b" as WorkerId, 4]]);
-    t.is(selectHeld(candidates, { needs, count: 5 }).size, 2);
-    t.is(selectHeld(candidates, { needs, count: 6 }).size, 0);
+    t.deepEqual(
+        [...selectReservedWorkers(candidates, { needs, count: 4 })],
+        [["b" as WorkerId, 4]],
+    );
+    t.is(selectReservedWorkers(candidates, { needs, count: 5 }).size, 2);
+    t.is(selectReservedWorkers(candidates, { needs, count: 6 }).size, 0);
 });
 
 test("a wide gang starts within seconds on a floor full of small tasks", (t) => {
     // The caller's hero shot waits. Batches of small tasks arrive faster than they end and take
     // each gap; without held room the gang starts when the batches stop coming.
-    const floor = new FloorFixture({
+    const cluster = new FloorFixture({
         workers: 4,
         taskMs: 2_000,
         queues: [
@@ -35,34 +38,34 @@
     let count = 0;
     const submitBatch = (): void => {
         const id = `00000000000${(65_536 + count++).toString(16)}`;
-        floor.submit(
+        cluster.submit(
             id,
             buildSpec({ count: 10, needs: small, savesProgress: count % 2 === 0 }),
             BATCHES,
         );
     };
-    for (; floor.now < 4_000; floor.runFor(200)) {
+    for (; cluster.now < 4_000; cluster.runFor(200)) {
         submitBatch();
     }
     const wide = { cpu: 5_000, memoryMb: 500, gpu: 0 };
-    const submittedAt = floor.now;
+    const submittedAt = cluster.now;
     const gang = "00000000000000a1";
-    floor.submit(gang, buildSpec({ count: 4, isGang: true, needs: wide }), GANGS);
-    for (; floor.now < submittedAt + 8_000; floor.runFor(200)) {
+    cluster.submit(gang, buildSpec({ count: 4, isGang: true, needs: wide }), GANGS);
+    for (; cluster.now < submittedAt + 8_000; cluster.runFor(200)) {
         submitBatch();
     }
-    const started = floor.runs.find((run) => run.task.startsWith(gang));
+    const started = cluster.runs.find((run) => run.task.startsWith(gang));
     t.true((started?.at ?? Number.POSITIVE_INFINITY) - submittedAt < 3_000);
-    t.is(floor.getState(gang), "complete");
-    floor.runFor(120_000);
-    t.true([...floor.durable.jobs.values()].every((job) => job.state === "complete"));
-    t.deepEqual(floor.violations, []);
+    t.is(cluster.getState(gang), "complete");
+    cluster.runFor(120_000);
+    t.true([...cluster.durable.jobs.values()].every((job) => job.state === "complete"));
+    t.deepEqual(cluster.violations, []);
 });
 
 test("tasks make way for a gang only where all of its workers come free by it", (t) => {
     // Two workers: one full of tasks that resume from checkpoints, one of long tasks that don't. A gang needs
     // both. Stopped for it, the first worker's tasks would wait as long as it does, beside a worker that stands idle.
-    const floor = new FloorFixture({
+    const cluster = new FloorFixture({
         workers: 2,
         computeTaskMs: (task) => (task.startsWith("00000000000000b") ? 10_000 : 3_000),
         queues: [
@@ -72,15 +75,19 @@
         ],
     });
     const needs = { cpu: 8_000, memoryMb: 500, gpu: 0 };
-    floor.submit("00000000000000b1", buildSpec({ count: 2, needs }), BATCHES);
-    floor.runFor(500);
-    floor.submit("00000000000000c1", buildSpec({ count: 2, needs, savesProgress: true }), BATCHES);
-    floor.runFor(500);
+    cluster.submit("00000000000000b1", buildSpec({ count: 2, needs }), BATCHES);
+    cluster.runFor(500);
+    cluster.submit(
+        "00000000000000c1",
+        buildSpec({ count: 2, needs, savesProgress: true }),
+        BATCHES,
+    );
+    cluster.runFor(500);
     const wide = { cpu: 16_000, memoryMb: 500, gpu: 0 };
-    floor.submit("00000000000000a1", buildSpec({ count: 2, isGang: true, needs: wide }), GANGS);
-    floor.runFor(4_000);
-    t.is(floor.getState("00000000000000c1"), "complete");
-    floor.runFor(20_000);
-    t.is(floor.getState("00000000000000a1"), "complete");
-    t.deepEqual(floor.violations, []);
+    cluster.submit("00000000000000a1", buildSpec({ count: 2, isGang: true, needs: wide }), GANGS);
+    cluster.runFor(4_000);
+    t.is(cluster.getState("00000000000000c1"), "complete");
+    cluster.runFor(20_000);
+    t.is(cluster.getState("00000000000000a1"), "complete");
+    t.deepEqual(cluster.violations, []);
 });
--- a/dispatch/repetition.ts
+++ b/dispatch/retry_placement.ts
@@ -5,7 +5,7 @@
  *
  * @example
  * ```ts
- * import { selectForRepetition } from "./repetition.ts";
+ * import { selectForRepetition } from "./retry_placement.ts";
  * const trusted = selectForRepetition(candidates, now - step.failedAt);
  * ```
  *
@@ -19,7 +19,7 @@
  * second. Longer would be a wait with nothing running for a task that fails by its own fault and has made
  * all its workers doubtful.
  */
-const PATIENCE_MS = 2_000;
+const MAX_HEALTHY_WORKER_WAIT_MS = 2_000;
 
 /**
  * Selects the workers that may run a task again that has failed. With one failure of a hundred by the tasks' own
@@ -29,11 +29,11 @@
  * @param sinceFailureMs How long ago a task of the step failed last, in ms.
  * @returns Those whose last task did not fail; all of them after a while.
  */
-export function selectForRepetition(
+export function selectForRetry(
     candidates: readonly Candidate[],
     sinceFailureMs: number,
 ): readonly Candidate[] {
-    return sinceFailureMs >= PATIENCE_MS
+    return sinceFailureMs >= MAX_HEALTHY_WORKER_WAIT_MS
         ? candidates
-        : candidates.filter((candidate) => !candidate.isDoubtful);
+        : candidates.filter((candidate) => !candidate.hasRecentFailure);
 }
--- a/dispatch/repetition_test.ts
+++ b/dispatch/retry_placement_test.ts
@@ -1,31 +1,31 @@
 import test from "ava";
 import type { WorkerId } from "../job/mod.ts";
 import type { Candidate } from "./placement.ts";
-import { selectForRepetition } from "./repetition.ts";
+import { selectForRetry } from "./retry_placement.ts";
 
-function buildCandidate(id: string, isDoubtful: boolean): Candidate {
+function buildCandidate(id: string, hasRecentFailure: boolean): Candidate {
     return {
         id: id as WorkerId,
         free: { cpu: 1_000, memoryMb: 1_000, gpu: 0 },
         rack: "r1",
         zone: "z1",
-        sameStep: 0,
-        isNear: false,
+        tasksOfStep: 0,
+        isDataLocal: false,
         slowness: 1,
-        isDoubtful,
+        hasRecentFailure,
     };
 }
 
 test("a repetition goes to workers whose last task did not fail", (t) => {
     const candidates = [buildCandidate("w1", true), buildCandidate("w2", false)];
     t.deepEqual(
-        selectForRepetition(candidates, 100).map(({ id }) => id),
+        selectForRetry(candidates, 100).map(({ id }) => id),
         ["w2" as WorkerId],
     );
 });
 
 test("with doubtful workers only it waits a while, not for ever", (t) => {
     const candidates = [buildCandidate("w1", true)];
-    t.is(selectForRepetition(candidates, 1_999).length, 0);
-    t.is(selectForRepetition(candidates, 2_000).length, 1);
+    t.is(selectForRetry(candidates, 1_999).length, 0);
+    t.is(selectForRetry(candidates, 2_000).length, 1);
 });
--- a/dispatch/zone_choice.ts
+++ b/dispatch/zone_ranking.ts
@@ -6,7 +6,7 @@
  *
  * @example
  * ```ts
- * import { rankZones } from "./zone_choice.ts";
+ * import { rankZones } from "./zone_ranking.ts";
  * const ranks = rankZones(candidates, { tasksByZone, isSpread: false });
  * candidates.sort((a, b) => ranks.get(a.zone) - ranks.get(b.zone));
  * ```
@@ -17,7 +17,7 @@
 import type { Candidate } from "./placement.ts";
 
 /** What the choice of a zone rests on, beside the workers with room. */
-export interface ZoneUse {
+export interface ZoneUsage {
     /** Tasks of the step that run now, by zone. */
     readonly tasksByZone: ReadonlyMap<string, number>;
     /** Whether the step's tasks should be apart. */
@@ -29,20 +29,20 @@
  * tasks that should be apart the one with fewest; then by room, so that steps take turns over the zones.
  *
  * @param candidates The workers that may take the task.
- * @param use What runs where.
+ * @param usage What runs where.
  * @returns A rank by zone, 0 for the first.
  */
-export function rankZones(candidates: readonly Candidate[], use: ZoneUse): Map<string, number> {
-    const room = new Map<string, number>();
+export function rankZones(candidates: readonly Candidate[], usage: ZoneUsage): Map<string, number> {
+    const freeCpu = new Map<string, number>();
     for (const { zone, free } of candidates) {
-        room.set(zone, (room.get(zone) ?? 0) + free.cpu);
+        freeCpu.set(zone, (freeCpu.get(zone) ?? 0) + free.cpu);
     }
-    const sign = use.isSpread ? 1 : -1;
-    const count = (zone: string): number => use.tasksByZone.get(zone) ?? 0;
-    const zones = [...room.keys()].sort(
+    const sign = usage.isSpread ? 1 : -1;
+    const countTasks = (zone: string): number => usage.tasksByZone.get(zone) ?? 0;
+    const zones = [...freeCpu.keys()].sort(
         (a, b) =>
-            sign * (count(a) - count(b)) ||
-            (room.get(b) ?? 0) - (room.get(a) ?? 0) ||
+            sign * (countTasks(a) - countTasks(b)) ||
+            (freeCpu.get(b) ?? 0) - (freeCpu.get(a) ?? 0) ||
             (a < b ? -1 : 1),
     );
     return new Map(zones.map((zone, rank) => [zone, rank]));
--- a/dispatch/zone_choice_test.ts
+++ b/dispatch/zone_ranking_test.ts
@@ -2,7 +2,7 @@
 import type { WorkerId } from "../job/mod.ts";
 import { buildSpec, FloorFixture } from "./_fixtures.ts";
 import type { Candidate } from "./placement.ts";
-import { rankZones } from "./zone_choice.ts";
+import { rankZones } from "./zone_ranking.ts";
 
 const JOB = "00000000000000a1";
 const ZONES = ["z1", "z2", "z3", "z4"];
@@ -13,28 +13,28 @@
         free: { cpu, memoryMb: 1_000, gpu: 0 },
         rack: "r1",
         zone,
-        sameStep: 0,
-        isNear: false,
+        tasksOfStep: 0,
+        isDataLocal: false,
         slowness: 1,
-        isDoubtful: false,
+        hasRecentFailure: false,
     };
 }
 
-function startFloor(): FloorFixture {
-    const floor = new FloorFixture({
+function startCluster(): FloorFixture {
+    const cluster = new FloorFixture({
         workers: 8,
         taskMs: 3_000,
         getRecord: (number) => ({ zone: ZONES[number % ZONES.length] as string }),
     });
-    floor.runFor(300);
-    return floor;
+    cluster.runFor(300);
+    return cluster;
 }
 
 /** The zones in which a job's tasks began, one entry a task. */
-function listZones(floor: FloorFixture, job: string): string[] {
-    return floor.runs
+function listZones(cluster: FloorFixture, job: string): string[] {
+    return cluster.runs
         .filter((run) => run.task.startsWith(job))
-        .map((run) => floor.durable.workers.get(run.worker)?.zone ?? "");
+        .map((run) => cluster.durable.workers.get(run.worker)?.zone ?? "");
 }
 
 test("the zone with tasks of the step goes first, then the one with most room", (t) => {
@@ -49,13 +49,13 @@
 test("a cut of one zone holds up only the jobs that run there", (t) => {
     // The callers of most jobs notice nothing of a cut zone. While there is room, each job's tasks share
     // one zone, and jobs take turns over the zones; spread over all, every job would wait for the cut's end.
-    const floor = startFloor();
+    const cluster = startCluster();
     const jobs = Array.from({ length: 4 }, (_, i) => `00000000000000b${i}`);
     for (const job of jobs) {
-        floor.submit(job, buildSpec({ count: 6, needs: { cpu: 2_000, memoryMb: 100, gpu: 0 } }));
-        floor.runFor(200);
+        cluster.submit(job, buildSpec({ count: 6, needs: { cpu: 2_000, memoryMb: 100, gpu: 0 } }));
+        cluster.runFor(200);
     }
-    const zones = jobs.map((job) => new Set(listZones(floor, job)));
+    const zones = jobs.map((job) => new Set(listZones(cluster, job)));
     t.deepEqual(
         zones.map((set) => set.size),
         [1, 1, 1, 1],
@@ -64,16 +64,16 @@
 });
 
 test("a step wider than a zone's room takes what there is elsewhere at once", (t) => {
-    const floor = startFloor();
-    floor.submit(JOB, buildSpec({ count: 40, needs: { cpu: 2_000, memoryMb: 100, gpu: 0 } }));
-    floor.runFor(300);
-    t.is(listZones(floor, JOB).length, 40);
+    const cluster = startCluster();
+    cluster.submit(JOB, buildSpec({ count: 40, needs: { cpu: 2_000, memoryMb: 100, gpu: 0 } }));
+    cluster.runFor(300);
+    t.is(listZones(cluster, JOB).length, 40);
 });
 
 test("lasting tasks are spread, so that the loss of a zone takes few", (t) => {
-    const floor = startFloor();
-    floor.submit(JOB, buildSpec({ count: 8, isPerpetual: true }));
-    floor.runFor(300);
-    const zones = listZones(floor, JOB);
+    const cluster = startCluster();
+    cluster.submit(JOB, buildSpec({ count: 8, isPerpetual: true }));
+    cluster.runFor(300);
+    const zones = listZones(cluster, JOB);
     ZONES.forEach((zone) => t.is(zones.filter((other) => other === zone).length, 2));
 });
