--- a/dispatch/_candidates.ts
+++ b/dispatch/_candidates.ts
@@ -1,10 +1,10 @@
 /**
- * The workers that a step may go to now, by what the advice service said about them.
+ * Lists the workers that a step may be placed on, grouped by their admission.
  *
  * @example
  * ```ts
  * import { listCandidates } from "./_candidates.ts";
- * const { admitted } = listCandidates(context, { step, queue, workers, isHeld, now });
+ * const { admitted } = listCandidates(context, { step, queue, workers, isReserved, now });
  * ```
  *
  * @module
@@ -17,32 +17,31 @@
 import { createStepKey, type ReadyStep } from "./ready_steps.ts";
 import { getFreeResources, type WorkerState } from "./worker_registry.ts";
 
-/** What is looked for. */
+/** The step and the workers to consider. */
 export interface CandidateQuery {
     readonly step: ReadyStep;
     readonly queue: QueueConfig;
-    /** The workers to look at. */
     readonly workers: Iterable<WorkerState>;
-    /** Whether a worker is kept for others. */
+    /** Checks whether a worker is reserved for other steps. */
     readonly isReserved: (id: WorkerId) => boolean;
-    /** Our clock, in ms. */
+    /** The current monotonic time, in ms. */
     readonly now: number;
 }
 
-/** The workers of a step's pool that get new work. */
+/** The usable workers of a step's pool, by admission. */
 export interface StepCandidates {
     readonly admitted: Candidate[];
-    /** Workers that the advice service was never asked about. */
+    /** Workers that the advice service has not been asked about. */
     readonly unasked: Candidate[];
-    /** Good workers whose ticket is over. */
+    /** Admitted workers whose ticket has expired. */
     readonly expired: Candidate[];
 }
 
 /**
- * Lists the workers that a step may go to.
+ * Lists the workers that a step may be placed on.
  *
- * @param context What the parts of the dispatcher share.
- * @param query The step, the workers to look at.
+ * @param context The shared state of the dispatcher.
+ * @param query The step and the workers to consider.
  * @returns The workers, by admission.
  */
 export function listCandidates(context: DispatchContext, query: CandidateQuery): StepCandidates {
@@ -65,7 +64,9 @@
     return result;
 }
 
-/** A worker that was asked about and is not good is no candidate at all. */
+/**
+ * Returns the list that a worker belongs to; `undefined` if the advice service did not admit it.
+ */
 function findCandidateList(
     result: StepCandidates,
     { step, queue, now }: CandidateQuery,
@@ -110,11 +111,11 @@
 }
 
 /**
- * Takes the room of what was just placed from the candidates, for the next unit of the step.
+ * Subtracts the capacity of placed tasks from the candidates, before the next unit is placed.
  *
  * @param candidates The candidates.
- * @param chosen Where tasks go, one entry a task.
- * @param needs What each takes.
+ * @param chosen The workers of the placed tasks, one entry per task.
+ * @param needs The resources that each task takes.
  */
 export function takeCapacity(
     candidates: readonly Candidate[],
--- a/dispatch/_context.ts
+++ b/dispatch/_context.ts
@@ -1,6 +1,6 @@
 /**
- * What the parts of the dispatcher share: the state, the clocks, the books, and where facts and
- * effects are gathered.
+ * State that the parts of the dispatcher share: the ledger, the clock, the worker and step indexes,
+ * and the pending facts and effects.
  *
  * @example
  * ```ts
@@ -22,32 +22,29 @@
 
 /** Options of {@link DispatchContext}. */
 export interface DispatchContextOptions {
-    /** The state to decide on; facts are applied to it at once. */
+    /** The replicated state; recorded facts are applied to it immediately. */
     readonly ledger: StateStore;
     readonly clock: DispatchClock;
-    /** Above every fence of earlier leaders. */
+    /** The first fencing token; higher than any token of earlier leaders. */
     readonly firstFence: number;
     readonly limits?: Partial<DispatchLimits>;
-    /** Takes a line about each decision. */
+    /** Logs a decision. */
     readonly record?: RecordDecision;
 }
 
-/** Default times and limits. */
+/** Default timeouts and limits of the dispatcher. */
 export const DEFAULT_DISPATCH_LIMITS: DispatchLimits = {
-    // Work goes on through the cuts and outages that last longest but end (6.5 s, and up to 1.5 s since
-    // the last renewal). A dead worker's tasks wait that long only if nothing new answers at its
-    // address before.
+    // Outlasts short partitions and outages. A dead worker's tasks may wait this long
+    // for their restart.
     leaseMs: 8_500,
-    // Twice the time for which a state must stay readable.
     retentionMs: 240_000,
-    // A look that is lost is noticed after this and a little more; a third of a lease.
+    // Bounds how long a lost request goes unnoticed.
     pollWaitMs: 1_500,
-    // A smaller room binds three seconds and a heartbeat after it came; a second is left for the way of the
-    // heartbeat, the commit and the order.
+    // Leaves time for the commit and the start order before a worker enforces a reduced capacity.
     maxReportAgeMs: 3_500,
 };
 
-/** Shared state of one leader's decisions. */
+/** Shared state of one leader's dispatcher. */
 export class DispatchContext {
     readonly ledger: StateStore;
     readonly clock: DispatchClock;
@@ -57,13 +54,13 @@
     readonly adviceScheduler = new AdviceScheduler();
     readonly admissionRates = new AdmissionRates();
     readonly recordDecision: RecordDecision;
-    /** Something changed that may let a waiting unit be placed. */
+    /** Whether anything changed that may allow a waiting unit to be placed. */
     isDirty = true;
     #facts: Fact[] = [];
     #effects: Effect[] = [];
 
     /**
-     * @param options State, clocks, first fence; see {@link DispatchContextOptions}.
+     * @param options See {@link DispatchContextOptions}.
      */
     constructor(options: DispatchContextOptions) {
         this.ledger = options.ledger;
@@ -79,7 +76,7 @@
     }
 
     /**
-     * Decides on a fact: it is applied here at once and agreed on later.
+     * Records a fact: applies it locally and queues it for replication.
      *
      * @param fact The fact.
      */
@@ -89,9 +86,9 @@
     }
 
     /**
-     * Notes that a worker got room or became usable.
+     * Records that a worker gained capacity or became usable.
      *
-     * @param worker The worker; `undefined` when it is gone already.
+     * @param worker The worker; `undefined` if it has been removed.
      */
     recordFreedCapacity(worker: WorkerState | undefined): void {
         if (worker !== undefined) {
@@ -101,7 +98,7 @@
     }
 
     /**
-     * Asks for effects once the facts so far are agreed on.
+     * Queues effects to run once the facts recorded so far are committed.
      *
      * @param effects The effects.
      */
@@ -109,7 +106,7 @@
         this.#effects.push(...effects);
     }
 
-    /** Takes what was decided since the last call. */
+    /** Takes the facts and effects that were queued since the last call. */
     takeOutcome(): Outcome {
         const outcome = { facts: this.#facts, effects: this.#effects };
         this.#facts = [];
@@ -118,10 +115,10 @@
     }
 
     /**
-     * Finds a queue, also one that was removed while jobs of it go on.
+     * Finds a queue, including a removed queue that still has open jobs.
      *
      * @param name The queue.
-     * @returns Its newest settings, or `undefined` when it was never known.
+     * @returns Its latest settings, or `undefined` if it is unknown.
      */
     findQueue(name: QueueName): QueueConfig | undefined {
         return this.ledger.queues.get(name);
--- a/dispatch/_crash_isolation.ts
+++ b/dispatch/_crash_isolation.ts
@@ -1,14 +1,14 @@
 /**
- * Starts of units under which workers crashed, apart from other starts; see `crash_loop.ts` for the pattern. A
- * unit under suspicion goes to the worker with least to lose, once every run there has outlasted its start, and no
- * other start follows until it has outlasted its own. A second crash then tells of this unit alone.
+ * Isolates the starts of units that are suspected of crashing workers; see `crash_loop.ts`. A
+ * suspect starts on a worker without other recent starts, so that a second crash can be attributed
+ * to it.
  *
  * @example
  * ```ts
- * import { Isolation } from "./_crash_isolation.ts";
- * const isolation = new Isolation(context);
+ * import { CrashIsolation } from "./_crash_isolation.ts";
+ * const isolation = new CrashIsolation(context);
  * isolation.update(now);
- * const workers = isolation.selectWorkers(step, unit, admitted, now);
+ * const workers = isolation.selectWorkers(step, unit, candidates, now);
  * ```
  *
  * @module
@@ -24,33 +24,35 @@
 import type { MemberRun, StepKey } from "./types.ts";
 import { hasResourcesFor, NO_RESOURCES, type WorkerState } from "./worker_registry.ts";
 
-/** A unit that finds no worker for itself within this time starts beside others, in ms. */
+/**
+ * Time after which a suspect is placed beside other tasks if no isolated worker was found, in ms.
+ */
 const MAX_ISOLATION_WAIT_MS = 3_000;
-/** One worker of so many is kept for units under suspicion at most, and always one. */
+/** One worker out of this many may be reserved for suspects; at least one always may. */
 const WORKERS_PER_RESERVATION = 8;
-/** Pause between two looks that ask whether runs have outlasted their starts, in ms. */
+/** Minimum time between two extra requests for a worker's state, in ms. */
 const PROBE_INTERVAL_MS = 250;
 
-/** The isolated starts of one leader. */
+/** Manages the isolated starts of one leader. */
 export class CrashIsolation {
     readonly #context: DispatchContext;
     readonly #reservations = new Map<WorkerId, StepKey>();
-    /** Units under suspicion that found no worker yet, by their keys. */
+    /** Suspects that wait for a worker, by unit key. */
     readonly #waitingUnits = new Map<string, { readonly step: StepKey; readonly since: number }>();
     #isolatedWorkers = new Set<WorkerId>();
 
     /**
-     * @param context What the parts share.
+     * @param context The shared state of the dispatcher.
      */
     constructor(context: DispatchContext) {
         this.#context = context;
     }
 
     /**
-     * Prepares a round of placing: drops what nothing waits for any more, and looks at workers whose runs may have
-     * outlasted their starts by now.
+     * Prepares a placement round: drops stale reservations and waiting units, and requests the
+     * state of workers whose tasks may have outlasted their start.
      *
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      */
     update(now: number): void {
         const { book, board } = this.#context;
@@ -74,11 +76,11 @@
     }
 
     /**
-     * Tells whether a worker takes no start of a step.
+     * Checks whether a worker is closed to new tasks of a step.
      *
      * @param id The worker.
      * @param step The step.
-     * @returns True beside a run under suspicion, and while the worker is kept for another step.
+     * @returns True if an isolated task runs there or the worker is reserved for another step.
      */
     isBlocked(id: WorkerId, step: ReadyStep): boolean {
         const reservedFor = this.#reservations.get(id);
@@ -90,8 +92,8 @@
     /**
      * Selects the candidates that units without suspicion may use.
      *
-     * @param candidates Those that are open to the step.
-     * @returns Those that units under suspicion neither use nor wait for.
+     * @param candidates The candidates of the step.
+     * @returns The candidates that are neither reserved for suspects nor isolated.
      */
     selectAvailable(candidates: readonly Candidate[]): readonly Candidate[] {
         return this.#reservations.size + this.#isolatedWorkers.size === 0
@@ -102,10 +104,10 @@
     }
 
     /**
-     * Lists the waiting units of a step that are under suspicion.
+     * Lists the waiting units of a step that are suspected of crashing workers.
      *
      * @param step The step.
-     * @returns Their numbers.
+     * @returns The unit numbers.
      */
     listSuspects(step: ReadyStep): number[] {
         if (!step.hasCrashes) {
@@ -118,13 +120,13 @@
     }
 
     /**
-     * Selects workers for a unit under suspicion, and keeps one until there are some.
+     * Selects workers for a suspect, or reserves one for it if none is available.
      *
      * @param step The step.
-     * @param unit The unit's number.
+     * @param unit The unit number.
      * @param candidates The workers that the step may use, by admission.
-     * @param now Our clock, in ms.
-     * @returns One worker a task; `undefined` when the unit has to wait.
+     * @param now The current monotonic time, in ms.
+     * @returns One worker per task; `undefined` if the unit has to wait.
      */
     selectWorkers(
         step: ReadyStep,
@@ -152,7 +154,7 @@
         return chosen;
     }
 
-    /** On workers without young runs, those first that have least to lose. */
+    /** Places a suspect on workers without recent starts, those with the fewest tasks first. */
     #placeIsolated(step: ReadyStep, admitted: readonly Candidate[]): WorkerId[] | undefined {
         const free = this.#selectStable(admitted).filter(({ id }) => {
             const worker = this.#context.book.findWorker(id);
@@ -172,8 +174,8 @@
     }
 
     /**
-     * Leaves out workers that crashed lately, unless most did: one that crashes by itself looks idle each time it is
-     * back, and would have the next unit under suspicion blamed for it.
+     * Selects workers without recent crashes, unless most have crashed. A worker that crashes by
+     * its own fault is idle after each restart and would attract suspects.
      */
     #selectStable(candidates: readonly Candidate[]): readonly Candidate[] {
         const { book, clock } = this.#context;
@@ -221,7 +223,10 @@
         }
     }
 
-    /** The runs that keep others off their workers; those that may have outlasted their starts are looked at. */
+    /**
+     * Lists the tasks that keep other tasks off their workers, and requests the state of workers
+     * whose tasks may have outlasted their start.
+     */
     #listIsolatedMembers(now: number): MemberRun[] {
         const isolated: MemberRun[] = [];
         for (const member of this.#context.book.isolatedRuns) {
@@ -245,7 +250,7 @@
     }
 }
 
-/** It runs for long enough to have outlasted its start, and no look has shown it yet. */
+/** Checks whether a task may have outlasted its start without a report that confirms it. */
 function isProbeDue(member: MemberRun, now: number): boolean {
     return (
         member.state === "running" &&
--- a/dispatch/_evacuator.ts
+++ b/dispatch/_evacuator.ts
@@ -1,5 +1,5 @@
 /**
- * Has work move off workers that leave, as far as others have room for it.
+ * Evacuates tasks from draining workers if another worker has capacity for them.
  *
  * @example
  * ```ts
@@ -16,14 +16,14 @@
 import type { MemberRun } from "./types.ts";
 import { getFreeResources, hasResourcesFor, type WorkerState } from "./worker_registry.ts";
 
-/** The evacuations of one leader. */
+/** Evacuates the draining workers of one leader. */
 export class Evacuator {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
 
     /**
-     * @param context What the parts share.
-     * @param attempts The attempts under way.
+     * @param context The shared state of the dispatcher.
+     * @param attempts The running attempts.
      */
     constructor(context: DispatchContext, attempts: Attempts) {
         this.#context = context;
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Stops what would be lost with a worker that leaves; it starts again elsewhere.
+     * Stops the tasks that can't finish before a draining worker leaves; they restart elsewhere.
      *
-     * @param worker The worker; nothing happens unless it drains and told when it ends.
-     * @param now Our clock, in ms.
+     * @param worker The worker; ignored unless it drains and announced its departure time.
+     * @param now The current monotonic time, in ms.
      */
     drainWorker(worker: WorkerState, now: number): void {
         const { record, leavesAt } = worker;
--- a/dispatch/_gang_reservations.ts
+++ b/dispatch/_gang_reservations.ts
@@ -1,13 +1,13 @@
 /**
- * The workers that blocked gangs hold, and the tasks that make way for them; see
- * `reservation.ts` for the pattern.
+ * Reserves workers for blocked gangs and preempts less urgent tasks there; see `reservation.ts` for
+ * the selection.
  *
  * @example
  * ```ts
- * import { GangHolds } from "./_gang_reservations.ts";
- * const holds = new GangHolds(context, attempts);
- * holds.setHolders(ranked);
- * holds.isHeld(workerId, entry);
+ * import { GangReservations } from "./_gang_reservations.ts";
+ * const reservations = new GangReservations(context, attempts);
+ * reservations.setReservingGangs(ranked);
+ * reservations.isReserved(workerId, entry);
  * ```
  *
  * @module
@@ -24,29 +24,29 @@
 import { getFreeResources, NO_RESOURCES } from "./worker_registry.ts";
 
 /**
- * Gangs that hold workers at the same time: a third of the floor at most stands ready (a mean gang
- * takes two to six workers of thirty), and the others fill what is left.
+ * Maximum number of gangs with reservations at the same time; bounds the capacity that is kept
+ * idle.
  */
 const MAX_RESERVING_GANGS = 2;
-/** Time between two rounds of making way for one gang, in ms: a stop takes up to 0.9 s. */
+/** Minimum time between two rounds of preemption for one gang, in ms; longer than a stop takes. */
 const PREEMPTION_INTERVAL_MS = 1_500;
 
-/** A step that waits, with its place in the order. */
+/** A waiting step with its rank; the smallest rank goes first. */
 export interface RankedStep {
     readonly step: ReadyStep;
     readonly queue: QueueConfig;
     readonly rank: number;
 }
 
-/** The holds of one leader. */
+/** Manages the gang reservations of one leader. */
 export class GangReservations {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
     #reservingGangs: readonly RankedStep[] = [];
 
     /**
-     * @param context What the parts share.
-     * @param attempts The attempts under way.
+     * @param context The shared state of the dispatcher.
+     * @param attempts The running attempts.
      */
     constructor(context: DispatchContext, attempts: Attempts) {
         this.#context = context;
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Takes the first gangs that hold workers as this round's holders.
+     * Selects the first gangs with reserved workers, up to the limit, for this round.
      *
-     * @param ranked All waiting steps in order.
+     * @param ranked All waiting steps in order of rank.
      */
     setReservingGangs(ranked: readonly RankedStep[]): void {
         const gangs: RankedStep[] = [];
@@ -72,12 +72,12 @@
     }
 
     /**
-     * Tells whether a worker is kept for a gang ahead of a step. The most urgent queue's tasks are
-     * short and go anywhere; others stay off held workers.
+     * Checks whether a worker is reserved for a gang with a lower rank than a step. Gangs of the
+     * most urgent queue don't keep others off, and steps of more urgent queues ignore reservations.
      *
      * @param id The worker.
      * @param entry The step.
-     * @returns True when the step must not use the worker.
+     * @returns True if the step must not use the worker.
      */
     isReserved(id: WorkerId, entry: RankedStep): boolean {
         return this.#reservingGangs.some(
@@ -90,11 +90,11 @@
     }
 
     /**
-     * Has a gang that found no room hold workers, and less urgent tasks make way there.
+     * Reserves workers for a gang that could not be placed, and preempts less urgent tasks on them.
      *
      * @param entry The step.
-     * @param candidates The workers that it may run on.
-     * @param now Our clock, in ms.
+     * @param candidates The workers that the step may use.
+     * @param now The current monotonic time, in ms.
      */
     updateReservation(entry: RankedStep, candidates: StepCandidates, now: number): void {
         const { step } = entry;
@@ -129,9 +129,9 @@
     }
 
     /**
-     * Lists the tasks that make way, on every held worker at once or not at all. Stopped where another held
-     * worker stays taken, or where the gang's ticket has run out, they would lose their place and the gang
-     * would start no sooner; on a floor of hundreds of workers that happened to most of them.
+     * Lists the tasks to preempt on the reserved workers, all or none. Preempting them while
+     * another reserved worker stays occupied or isn't admitted would cost their progress without
+     * starting the gang.
      */
     #listVictims({ step, queue }: RankedStep, candidates: StepCandidates): MemberRun[] | undefined {
         const admitted = new Set(candidates.admitted.map(({ id }) => id));
@@ -172,7 +172,7 @@
         });
     }
 
-    /** What others were kept from may be used again. */
+    /** Makes workers available to other steps once they are no longer reserved. */
     #releaseWorkers(
         previous: ReadonlyMap<WorkerId, number>,
         reserved: ReadonlyMap<WorkerId, number>,
@@ -185,7 +185,7 @@
         }
     }
 
-    /** What a worker has left once work less urgent than a priority has gone. */
+    /** Computes a worker's free capacity after all less urgent tasks are preempted. */
     #computeCapacityAfterPreemption(id: WorkerId, priority: number): Resources {
         const worker = this.#context.book.findWorker(id);
         if (worker === undefined) {
--- a/dispatch/_placer.ts
+++ b/dispatch/_placer.ts
@@ -1,5 +1,6 @@
 /**
- * Places waiting units on workers, and asks for the advice that some queues need before.
+ * Places waiting units on workers and requests admission from the advice service for queues with an
+ * advice policy.
  *
  * @example
  * ```ts
@@ -27,29 +28,33 @@
 import type { WorkerState } from "./worker_registry.ts";
 import { rankZones } from "./zone_ranking.ts";
 
-/** A ticket is not used so shortly before its end: the commit and the order take time, in ms. */
+/**
+ * Time before its expiry from which a ticket is no longer used, in ms; covers the commit and the
+ * start order.
+ */
 const TICKET_EXPIRY_MARGIN_MS = 150;
-/** Pause before asking again when nothing new can be learned, in ms. */
+/** Backoff after an answer that admits no worker, in ms. */
 const NO_ADMISSION_BACKOFF_MS = 500;
 /**
- * A waiting step is matched with every worker at least this often, in ms: tickets run out by the
- * clock alone. In between it is matched with those that got room since its last try.
+ * Longest time between two matches of a waiting step with all workers, in ms; needed because
+ * tickets expire without an event. In between, the step is matched only with workers whose capacity
+ * changed.
  */
 const FULL_MATCH_INTERVAL_MS = 1_000;
 /**
- * A gang needs room on many workers at once, so it is matched with all of them, this often, in ms: a
- * fifth of what the shortest objective leaves for waiting.
+ * Time between two matches of a waiting gang with all workers, in ms. A gang needs capacity on many
+ * workers at once, so changed workers alone aren't enough.
  */
 const GANG_MATCH_INTERVAL_MS = 50;
-/** The first gangs in order are matched that often: more than find room within a second. */
+/** Gangs at the head of the order that are matched at {@link GANG_MATCH_INTERVAL_MS}. */
 const MAX_FREQUENT_GANGS = 8;
-/** The gangs behind them are matched this often, in ms: a backlog of them costs a fifth as much. */
+/** Time between two matches of the gangs behind them, in ms; limits the cost of a backlog. */
 const BACKLOG_GANG_MATCH_INTERVAL_MS = 250;
 
-/** Which workers a step is matched with. */
+/** The workers that a step is matched with: none, those whose capacity changed, or all. */
 type MatchScope = "none" | "changed" | "all";
 
-/** The placements of one leader. */
+/** Places the waiting steps of one leader. */
 export class StepPlacer {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
@@ -58,8 +63,8 @@
     #nextCallId = 1;
 
     /**
-     * @param context What the parts share.
-     * @param attempts The attempts under way.
+     * @param context The shared state of the dispatcher.
+     * @param attempts The running attempts.
      */
     constructor(context: DispatchContext, attempts: Attempts) {
         this.#context = context;
@@ -68,7 +73,7 @@
         this.#isolation = new CrashIsolation(context);
     }
 
-    /** Places what waits, if anything changed since the last time. */
+    /** Places waiting units if anything changed since the last call. */
     placeWaiting(): void {
         if (!this.#context.isDirty) {
             return;
@@ -104,9 +109,9 @@
     }
 
     /**
-     * Selects the workers that a step is matched with. A backlog of hundreds of steps matched with
-     * hundreds of workers at each end of a task would take the leader's whole processor; a worker
-     * that had no room for a task at the last try has none now unless it got some since.
+     * Selects the workers that a step is matched with. Matching every waiting step with every
+     * worker at each task end would saturate the leader, so steps are matched with workers that
+     * gained capacity.
      */
     #selectMatchScope({ step, queue }: RankedStep, gangPosition: number, now: number): MatchScope {
         if (now < step.pausedUntil) {
@@ -190,7 +195,7 @@
         return hasPlaced;
     }
 
-    /** Units that failed before go first: their job waits for them longest. */
+    /** Separates units that failed before from first attempts; the former are placed first. */
     #listByFailures(
         step: ReadyStep,
         suspects: readonly number[],
@@ -232,7 +237,7 @@
         return hasPlaced;
     }
 
-    /** Where tasks of the step run now, by zone. */
+    /** Counts the running tasks of a step by zone. */
     #countTasksByZone(step: ReadyStep): Map<string, number> {
         const counts = new Map<string, number>();
         const units = step.job.occurrences.get(step.occurrence)?.steps[step.step] ?? [];
@@ -284,7 +289,7 @@
         });
     }
 
-    /** Asks about workers that could take a unit now, had they a valid ticket. */
+    /** Requests advice on workers that have capacity for a unit but no valid admission. */
     #ensureAdvice(
         entry: RankedStep,
         scope: MatchScope,
@@ -302,7 +307,8 @@
             return;
         }
         if (scope === "changed") {
-            // One call for all of them costs little more than one for those that changed.
+            // Asks about all workers at once: the call costs hardly more than one for the changed
+            // workers.
             const allCandidates = this.#listCandidates(entry, this.#context.book.workers, now);
             workerGroups = this.#planAdvice(step, queue, allCandidates);
         }
@@ -320,7 +326,9 @@
         }
     }
 
-    /** @returns The workers to name, call by call. */
+    /**
+     * @returns The workers to ask about, one list per call.
+     */
     #planAdvice(step: ReadyStep, queue: QueueConfig, candidates: StepCandidates): WorkerId[][] {
         const { advice: policy } = queue;
         if (policy === undefined) {
@@ -337,11 +345,12 @@
             suspects.length === step.waiting.size &&
             hasCapacityForUnit(step, candidates.admitted)
         ) {
-            // They wait for runs beside them, not for a ticket.
+            // These units wait for an isolated worker, not for a ticket.
             return [];
         }
         const known = [...candidates.expired, ...candidates.admitted];
-        // A gang that holds workers asks while they are cleared, so that its tickets are fresh then.
+        // A gang with reserved workers asks during preemption, so that its tickets are still valid
+        // afterwards.
         const isReserving = step.reservedWorkers.size > 0 && candidates.admitted.length === 0;
         if (!isReserving && !hasCapacityForUnit(step, known)) {
             return [];
@@ -355,11 +364,11 @@
     }
 
     /**
-     * Takes the advice service's answer.
+     * Handles an answer of the advice service.
      *
      * @param call The call.
-     * @param admissions The workers that may run the step; `undefined` when there was no answer.
-     * @param ageMs How long ago the service gave the answer, at most, in ms.
+     * @param admissions The workers that may run the step; `undefined` if the call failed.
+     * @param ageMs Upper bound of the answer's age, in ms.
      */
     handleAdvice(
         call: AdviceCall,
@@ -408,7 +417,7 @@
     }
 }
 
-/** Whether a unit of a step fits, with any ticket. */
+/** Checks whether a unit of the step fits on the candidates, regardless of tickets. */
 function hasCapacityForUnit(step: ReadyStep, candidates: readonly Candidate[]): boolean {
     const { count, isGang, maxPerWorker } = step.spec;
     const needs = computeReservedResources(step.spec);
@@ -416,7 +425,7 @@
     return placeUnit({ ...request, isRackLocal: false }) !== undefined;
 }
 
-/** The workers with most room first: an answer about them is most likely to start something. */
+/** Ranks the workers by free CPU, descending, and counts the tasks that fit on each. */
 function rankAdviceCandidates(
     step: ReadyStep,
     candidates: readonly Candidate[],
--- a/dispatch/admission.ts
+++ b/dispatch/admission.ts
@@ -1,7 +1,6 @@
 /**
- * Which jobs are refused when they are handed in. The pattern: some jobs ask for more than any
- * worker has, or for a label that none carries. Accepted, such a job waits for ever and its caller
- * learns of it by its own deadline; refused at once, the caller can change it.
+ * Admission checks for submitted jobs. A job that no worker can ever run is refused immediately
+ * instead of waiting until its caller's deadline.
  *
  * @example
  * ```ts
@@ -15,12 +14,12 @@
 import type { JobSpec, Resources, StepSpec, WorkerRecord } from "../job/mod.ts";
 
 /**
- * Checks whether the workers of a pool, all empty and at their full size, could ever run a job.
+ * Checks whether the workers of a pool, idle and at full capacity, could run a job.
  *
  * @param spec The job.
- * @param workers Every worker of its pool on record, also those that are silent or busy. While none
- * is on record nothing is known, and nothing is refused.
- * @returns Why it can never run, or `undefined` when it can.
+ * @param workers All known workers of the pool, including silent and busy ones. If there are none,
+ * every job is accepted.
+ * @returns The reason why the job can never run, or `undefined` if it can.
  */
 export function checkFeasible(spec: JobSpec, workers: readonly WorkerRecord[]): string | undefined {
     if (workers.length === 0) {
--- a/dispatch/advice_plan.ts
+++ b/dispatch/advice_plan.ts
@@ -1,15 +1,11 @@
 /**
- * Which workers a step asks about, in how many calls. The pattern: on a floor of hundreds of workers, nearly
- * full, a wide step needs tickets for many workers at the same moment. A call names a hundred at the most, takes
- * longer the more it names, and its tickets run out within seconds: asked one call after another, the
- * first tickets are over before the last ones are there, and the widest gangs never start. A small step needs
- * few names, and each further one makes it later. So a step names as many workers as its tasks need, by the
- * share of workers that its queue's policy usually admits, and asks about them in calls at the same time.
+ * Plans which workers a step asks the advice service about, and in how many concurrent calls.
+ * Sequential calls would let the first tickets of a wide gang expire before the last ones arrive.
  *
  * @example
  * ```ts
  * import { planAdvice } from "./advice_plan.ts";
- * const calls = planAdvice({ places, tasks: 20, goodShare: 0.35, policy });
+ * const calls = planAdvice({ workers, tasks: 20, admissionRate: 0.35, policy });
  * ```
  *
  * @module
@@ -18,50 +14,57 @@
 import type { AdvicePolicy, QueueName } from "../configuration/mod.ts";
 import type { WorkerId } from "../job/mod.ts";
 
-/** A worker that may be asked about. */
+/** A worker to ask the advice service about. */
 export interface AdviceCandidate {
     readonly id: WorkerId;
-    /** Tasks of the step that it has room for now. */
+    /** Number of the step's tasks that currently fit on the worker. */
     readonly taskSlots: number;
 }
 
-/** What a step asks for. */
+/** The needs of a step and the workers to choose from. */
 export interface AdviceRequest {
-    /** The workers, the best first. */
+    /** The workers, best first. */
     readonly workers: readonly AdviceCandidate[];
-    /** Tasks that wait. */
+    /** Number of waiting tasks. */
     readonly tasks: number;
-    /** Share of the workers that is admitted, from 0 to 1. */
+    /** Expected share of admitted workers, from 0 to 1. */
     readonly admissionRate: number;
     readonly policy: AdvicePolicy;
 }
 
-/** The most workers named in one call (the service's limit). */
+/** Maximum number of workers in one call, set by the advice service. */
 const MAX_WORKERS_PER_CALL = 100;
-/** Names in one call at the least: what one call costs hardly depends on fewer. */
+/** Minimum number of workers in one call; smaller calls are hardly cheaper. */
 const MIN_WORKERS_PER_CALL = 30;
-/** Places asked for, as a multiple of the tasks: others take most of them until the answer is there. */
+/**
+ * Expected task slots per waiting task; allows for slots that are taken before the answer arrives.
+ */
 const SLOT_COVERAGE_FACTOR = 4;
-/** Calls of one step at the same time, so that one step can't take every front's turn. */
+/**
+ * Maximum number of concurrent calls for one step, so that it can't occupy every front instance.
+ */
 const MAX_CONCURRENT_CALLS = 4;
 
 /**
- * Plans the calls.
+ * Plans the calls for a step.
  *
  * @param request The step's needs and the workers.
- * @returns The names of each call; none when there is nobody to ask about.
+ * @returns The workers of each call; empty if there are no workers to ask about.
  */
 export function planAdvice(request: AdviceRequest): WorkerId[][] {
     const workersPerCall = computeWorkersPerCall(request.policy);
     const selected = selectWorkers(request, MAX_CONCURRENT_CALLS * workersPerCall);
     const callCount = Math.ceil(selected.length / workersPerCall);
-    // Dealt out in turn, so that each answer alone has some of the best.
+    // Distributes the workers round-robin, so that each answer covers some of the best.
     return Array.from({ length: callCount }, (_none, call) =>
         selected.filter((_name, i) => i % callCount === call),
     );
 }
 
-/** Names beyond those that take as long as the call itself make it late; another call takes them beside it. */
+/**
+ * Computes the call size at which the time per worker equals the fixed time of a call. More workers
+ * go into a concurrent call.
+ */
 function computeWorkersPerCall({ decideMs, perWorkerMs }: AdvicePolicy): number {
     const balancedCount =
         perWorkerMs > 0 ? Math.floor(decideMs / perWorkerMs) : MAX_WORKERS_PER_CALL;
@@ -87,12 +90,12 @@
     return selected;
 }
 
-/** Names after which a queue's own record outweighs the assumption. */
+/** Weight of the assumed admission rate, as a number of workers. */
 const PRIOR_WORKER_COUNT = 40;
-/** Share of workers that is assumed to be admitted before anything is known. */
+/** Admission rate that is assumed before any answer arrives. */
 const PRIOR_ADMISSION_RATE = 0.5;
 
-/** The share of workers that each queue's policy admits, by its answers. */
+/** Tracks the share of workers that the advice service admits, by queue. */
 export class AdmissionRates {
     readonly #counts = new Map<QueueName, { asked: number; good: number }>();
 
@@ -100,8 +103,8 @@
      * Records an answer.
      *
      * @param queue The queue.
-     * @param asked Workers that were asked about for the first time for their step.
-     * @param admitted Those of them that are admitted.
+     * @param asked Number of workers that were asked about for the first time for their step.
+     * @param admitted Number of those workers that were admitted.
      */
     record(queue: QueueName, asked: number, admitted: number): void {
         const counts = this.#counts.get(queue) ?? {
@@ -114,10 +117,10 @@
     }
 
     /**
-     * Gives a queue's share.
+     * Returns the admission rate of a queue.
      *
      * @param queue The queue.
-     * @returns From 0 to 1.
+     * @returns The rate, from 0 to 1.
      */
     get(queue: QueueName): number {
         const counts = this.#counts.get(queue);
--- a/dispatch/advice_plan_test.ts
+++ b/dispatch/advice_plan_test.ts
@@ -21,11 +21,11 @@
         policy: POLICY,
     });
     const workers = calls.flat();
-    // 40 tasks four times over, 0.8 places expected of each worker named.
+    // 40 tasks, a coverage factor of 4 and 0.8 expected slots per worker.
     t.is(workers.length, 200);
     t.is(new Set(workers).size, workers.length);
     t.true(calls.length > 1);
-    // The names of a call take no longer than the call itself.
+    // The time per worker adds at most the fixed time of a call.
     t.true(calls.every((call) => call.length * POLICY.perWorkerMs <= POLICY.decideMs));
 });
 
@@ -65,9 +65,8 @@
 });
 
 test("a gang wider than one call's answers starts as soon as its workers' tickets are there", (t) => {
-    // The floor is empty but for what its policy forbids: a third of 300 workers may run the gang, one task on
-    // each. A call names a hundred and takes 1.2 s, and tickets hold 2.5 s. Asked one call after another, the
-    // first tickets have run out when the last ones come, and the gang starts late or never.
+    // A call covers 100 workers and takes 1.2 s, and tickets expire after 2.5 s: sequential calls
+    // would let the first tickets expire before the last arrive.
     const queue = buildQueue({ advice: POLICY });
     const cluster = new FloorFixture({
         workers: 300,
--- a/dispatch/advice_scheduler.ts
+++ b/dispatch/advice_scheduler.ts
@@ -1,13 +1,13 @@
 /**
- * The queue of calls to the advice service: which call goes next, over which front instance.
+ * Schedules calls to the advice service over the front instances that can make them.
  *
  * @example
  * ```ts
- * import { AdviceDesk } from "./advice_scheduler.ts";
- * const desk = new AdviceDesk();
- * desk.setLanes(["front-1" as LaneId]);
- * desk.addCall(call, now);
- * const started = desk.takeCalls(now);
+ * import { AdviceScheduler } from "./advice_scheduler.ts";
+ * const scheduler = new AdviceScheduler();
+ * scheduler.setLanes(["front-1" as LaneId]);
+ * scheduler.addCall(call, priority, now);
+ * const started = scheduler.startCalls(now);
  * ```
  *
  * @module
@@ -17,20 +17,19 @@
 import { planLanes, type LaneDemand } from "./lane_plan.ts";
 import type { AdviceCall, LaneId, StepKey } from "./types.ts";
 
-/** A call this short may follow another on a lane before that one is answered, in ms. */
+/** Longest duration of a call that may be pipelined on a lane, in ms. */
 const SHORT_CALL_MS = 60;
-/** Calls under way on one lane when they are short: hides the way between the instances. */
+/** Maximum number of concurrent short calls on one lane; hides the network latency. */
 const MAX_SHORT_CALLS_PER_LANE = 2;
-/** Time constant of the measured load, in ms: several bursts, so that lanes seldom change hands. */
+/** Time constant of the load average, in ms; long enough to keep lane assignments stable. */
 const LOAD_TIME_CONSTANT_MS = 10_000;
-/** Time between two plans, in ms. */
+/** Time between two lane plans, in ms. */
 const PLAN_INTERVAL_MS = 2_000;
 /**
- * Load of the most urgent queues counts this many times: at a third of its lanes' time a call
- * waits for less than half of another one.
+ * Weight of the load of the most urgent queues; gives them spare lanes and short queueing times.
  */
 const URGENT_LOAD_WEIGHT = 2.5;
-/** A lane whose call got no answer is left alone this long, in ms. */
+/** Backoff of a lane after a failed call, in ms. */
 const FAILED_LANE_BACKOFF_MS = 1_500;
 
 interface Lane {
@@ -40,7 +39,7 @@
 }
 
 interface QueueLoad {
-    /** Decayed sum of calls' lengths, in ms. */
+    /** Exponentially decayed sum of call durations, in ms. */
     decayedCallMs: number;
     updatedAt: number;
     lastCallMs: number;
@@ -57,15 +56,15 @@
     readonly startedAt: number;
 }
 
-/** What a call's time went to. */
+/** Queueing and service time of a call. */
 export interface CallTimes {
     /** Time until a lane was free, in ms. */
     readonly queuedMs: number;
-    /** Time from there to the answer, in ms. */
+    /** Time from the start of the call to its answer, in ms. */
     readonly tookMs: number;
 }
 
-/** Calls that wait and calls under way. */
+/** Holds waiting and running calls and assigns lanes to them. */
 export class AdviceScheduler {
     readonly #lanes = new Map<LaneId, Lane>();
     readonly #waiting = new Map<number, WaitingCall>();
@@ -75,9 +74,9 @@
     #plannedAt = Number.NEGATIVE_INFINITY;
 
     /**
-     * Sets the front instances that can call.
+     * Sets the front instances that can make calls.
      *
-     * @param ids The instances that are there now.
+     * @param ids The available instances.
      */
     setLanes(ids: readonly LaneId[]): void {
         for (const id of this.#lanes.keys()) {
@@ -95,11 +94,11 @@
     }
 
     /**
-     * Adds a call.
+     * Adds a call to the queue.
      *
      * @param call The call.
-     * @param priority Its queue's priority.
-     * @param now Our clock, in ms.
+     * @param priority The priority of the call's queue.
+     * @param now The current monotonic time, in ms.
      */
     addCall(call: AdviceCall, priority: number, now: number): void {
         this.#waiting.set(call.id, { call, addedAt: now });
@@ -120,7 +119,7 @@
     }
 
     /**
-     * Withdraws a step's calls that still wait.
+     * Removes the waiting calls of a step.
      *
      * @param step The step.
      */
@@ -133,10 +132,10 @@
     }
 
     /**
-     * Starts as many calls as the lanes take now, by rank within each queue.
+     * Starts as many calls as there are free lanes, in order of rank.
      *
-     * @param now Our clock, in ms.
-     * @returns The calls to make, with their lanes.
+     * @param now The current monotonic time, in ms.
+     * @returns The started calls with their lanes.
      */
     startCalls(now: number): { readonly lane: LaneId; readonly call: AdviceCall }[] {
         if (this.#waiting.size === 0 || this.#lanes.size === 0) {
@@ -158,12 +157,12 @@
     }
 
     /**
-     * Ends a call; its lane is free for the next.
+     * Ends a call and frees its lane.
      *
      * @param id The call.
-     * @param hasAnswer Whether the service answered; otherwise the lane is left alone for a while.
-     * @param now Our clock, in ms.
-     * @returns Where its time went; `undefined` when it was not under way.
+     * @param hasAnswer Whether the service answered; if not, the lane backs off.
+     * @param now The current monotonic time, in ms.
+     * @returns The times of the call; `undefined` if it was not running.
      */
     endCall(id: number, hasAnswer: boolean, now: number): CallTimes | undefined {
         const started = this.#started.get(id);
@@ -189,8 +188,8 @@
         if (lane !== undefined) {
             return lane;
         }
-        // A short call may use an idle lane of a slower queue, never the other way round: the
-        // slow call would hold up the short ones that the lane is kept for.
+        // A call may borrow an idle lane of a queue with longer calls. The reverse would block
+        // short calls behind a long one.
         for (const [queue, lanes] of this.#lanePlan) {
             const ownerCallMs = this.#loads.get(queue)?.lastCallMs ?? 0;
             const borrowed =
@@ -227,7 +226,8 @@
             .sort(([a], [b]) => (a < b ? -1 : 1))
             .map(([queue, load]) => ({
                 queue,
-                // Before anything was measured the length of a call stands in for its load.
+                // The duration of one call is added so that a new queue has a load before any
+                // measurement.
                 load:
                     (decayLoad(load, now) / LOAD_TIME_CONSTANT_MS +
                         load.lastCallMs / LOAD_TIME_CONSTANT_MS) *
@@ -238,10 +238,10 @@
 }
 
 /**
- * Gives how long the service takes for a call.
+ * Computes how long the advice service takes for a call.
  *
  * @param call The call.
- * @returns Ms.
+ * @returns The duration, in ms.
  */
 export function computeCallMs(call: Pick<AdviceCall, "policy" | "workers">): number {
     return call.policy.decideMs + call.policy.perWorkerMs * call.workers.length;
--- a/dispatch/advice_scheduler_test.ts
+++ b/dispatch/advice_scheduler_test.ts
@@ -39,8 +39,7 @@
 });
 
 test("a burst of slow calls leaves the urgent queue's lanes free", (t) => {
-    // Pattern: many wide jobs at once, each with a call of 0.7 s, while small urgent ones come
-    // 30 a second. A small one whose call stands behind a slow one has missed its objective.
+    // A short urgent call that waits behind a 0.7 s call misses its latency objective.
     const scheduler = new AdviceScheduler();
     scheduler.setLanes(LANES);
     scheduler.addCall(buildCall(1, FAST, 15), 0, 0);
--- a/dispatch/evacuation.ts
+++ b/dispatch/evacuation.ts
@@ -1,12 +1,10 @@
 /**
- * What moves off a worker that leaves. The pattern: a worker announces its end some seconds ahead, and
- * everything that still runs there at the end is lost. Work that cannot be done by then loses nothing
- * more by going at once, and wins the seconds that are left; with a checkpoint it loses nothing at all.
+ * Selects the tasks to move off a draining worker: those that can't finish before it leaves.
  *
  * @example
  * ```ts
- * import { selectEvacuees } from "./evacuation.ts";
- * const members = selectEvacuees(worker.members.values(), { now, leavesAt });
+ * import { selectForEvacuation } from "./evacuation.ts";
+ * const members = selectForEvacuation(worker.members.values(), { now, leavesAt });
  * ```
  *
  * @module
@@ -15,27 +13,27 @@
 import type { MemberRun } from "./types.ts";
 
 /**
- * Estimates are off by half and more, and a worker often stays longer than it must: work goes only
- * when it needs this many times the time that is left.
+ * Ratio of a task's remaining time to the worker's remaining time above which the task is moved;
+ * allows for wrong estimates and for workers that stay longer than announced.
  */
 const ESTIMATE_OVERRUN_FACTOR = 1.3;
-/** From this progress on the pace so far tells more than the caller's estimate, in percent. */
+/** Minimum progress from which the observed pace replaces the caller's estimate, in percent. */
 const MIN_PROGRESS_PERCENT = 10;
 
-/** When a worker leaves. */
+/** The departure time of a worker. */
 export interface Departure {
-    /** Our clock, in ms. */
+    /** The current monotonic time, in ms. */
     readonly now: number;
-    /** When the worker may end, at the earliest, on our clock in ms. */
+    /** The earliest time at which the worker may leave, on the same clock, in ms. */
     readonly leavesAt: number;
 }
 
 /**
- * Selects the tasks that should start again elsewhere now.
+ * Selects the tasks to restart on another worker.
  *
- * @param members What runs on the worker.
- * @param time When it leaves.
- * @returns Running tasks that cannot be done before; tasks that last are always among them.
+ * @param members The tasks on the worker.
+ * @param time The departure time of the worker.
+ * @returns The running tasks that can't finish in time, and all perpetual tasks.
  */
 export function selectForEvacuation(members: Iterable<MemberRun>, time: Departure): MemberRun[] {
     const remainingMs = Math.max(0, time.leavesAt - time.now);
@@ -48,11 +46,11 @@
 }
 
 /**
- * Computes how long a task still takes: by its pace so far once it is under way, else by its estimate.
+ * Computes the remaining time of a task, from its progress so far or from its estimate.
  *
  * @param member The task.
- * @param now Our clock, in ms.
- * @returns Ms; 0 when it should be done already.
+ * @param now The current monotonic time, in ms.
+ * @returns The remaining time, in ms; 0 if the task is overdue.
  */
 export function computeRemainingMs(member: MemberRun, now: number): number {
     const elapsedMs = member.progressAt - member.startedAt;
--- a/dispatch/evacuation_test.ts
+++ b/dispatch/evacuation_test.ts
@@ -5,7 +5,7 @@
 const JOB = "00000000000000a1";
 const LEAVING = "w1" as WorkerId;
 
-/** A floor of two workers with a job on the first one, which then announces that it leaves. */
+/** Creates two workers with a job on the first one, which then announces its departure. */
 function drainFirstWorker(options: { readonly taskMs: number; readonly leavesInMs: number }) {
     const cluster = new FloorFixture({ workers: 1, taskMs: options.taskMs });
     cluster.submit(JOB, buildSpec({ count: 2, estimateMs: options.taskMs, savesProgress: true }));
@@ -16,8 +16,6 @@
 }
 
 test("work that cannot be done before its worker leaves goes elsewhere at once", (t) => {
-    // The caller of a 5 s job sees it done seconds later than need be: the worker announces that it
-    // ends in 3 s, the tasks run on there, are lost with it, and only then start elsewhere.
     const cluster = drainFirstWorker({ taskMs: 5_000, leavesInMs: 3_000 });
     cluster.runFor(2_600);
     t.deepEqual(
@@ -35,7 +33,6 @@
 });
 
 test("nothing is stopped while no other worker has room for it", (t) => {
-    // A full floor: stopped here it would wait there, and the worker may stay longer than it must.
     const cluster = new FloorFixture({ workers: 1, taskMs: 5_000 });
     cluster.submit(JOB, buildSpec({ count: 2, estimateMs: 5_000, savesProgress: true }));
     cluster.runFor(200);
--- a/dispatch/lane_plan.ts
+++ b/dispatch/lane_plan.ts
@@ -1,7 +1,7 @@
 /**
- * How the calls to the advice service are spread over the front instances that can make them.
- * The service takes one call at a time from each calling instance, so an urgent queue's short
- * calls must not stand behind a slow queue's: each queue gets lanes of its own.
+ * Assigns front instances ("lanes") to queues. The advice service handles one call at a time per
+ * instance, so each queue gets its own lanes to keep short urgent calls from waiting behind long
+ * ones.
  *
  * @example
  * ```ts
@@ -15,16 +15,16 @@
 import type { QueueName } from "../configuration/mod.ts";
 import type { LaneId } from "./types.ts";
 
-/** How much one queue asks. */
+/** The load of one queue. */
 export interface LaneDemand {
     readonly queue: QueueName;
-    /** Seconds of calls per second; for urgent queues weighted so that they seldom wait. */
+    /** Call time per unit of time; weighted higher for urgent queues. */
     readonly load: number;
 }
 
 /**
- * Gives each queue lanes in proportion to its load, at least one while there are enough; with
- * fewer lanes than queues, queues share.
+ * Assigns lanes to queues in proportion to their load, at least one each. Queues share lanes if
+ * there are fewer lanes than queues.
  *
  * @param lanes The front instances, in a stable order.
  * @param demands The queues, in a stable order.
--- a/dispatch/matching_test.ts
+++ b/dispatch/matching_test.ts
@@ -4,8 +4,8 @@
 import { WorkerRegistry } from "./worker_registry.ts";
 
 /**
- * The pattern: hundreds of steps wait on a full floor, and tasks end hundreds of times a second. Steps are
- * matched only with workers that got room since their last try, so each way to get room must be noted.
+ * Steps are matched only with workers that gained capacity since their last try. Guards against a
+ * source of capacity that isn't recorded, which would leave steps waiting.
  */
 
 const FULL = "00000000000000a1";
@@ -59,7 +59,7 @@
 });
 
 test("a waiting task starts when the pause of the only worker with room is over", (t) => {
-    // Nothing ends and nobody announces anything at that moment: the clock alone makes the worker usable.
+    // No event occurs at that moment: only the clock makes the worker usable again.
     const cluster = new FloorFixture({
         workers: 1,
         taskMs: 100,
@@ -96,7 +96,7 @@
 });
 
 test("a task whose ticket ran out while it waited asks again and starts", (t) => {
-    // The advice is good for 500 ms, the only good worker is full for 2 s.
+    // Tickets expire after 500 ms; the only worker is busy for 2 s.
     const queue = buildQueue({ advice: { decideMs: 20, perWorkerMs: 0, validMs: 500 } });
     const cluster = new FloorFixture({
         workers: 1,
--- a/dispatch/placement.ts
+++ b/dispatch/placement.ts
@@ -1,5 +1,5 @@
 /**
- * Where the tasks of a step go: pure choices among workers with room.
+ * Places the tasks of a step on workers with free capacity.
  *
  * @example
  * ```ts
@@ -12,34 +12,34 @@
 
 import type { Resources, WorkerId } from "../job/mod.ts";
 
-/** A worker that may run the step. */
+/** A worker that a step may be placed on. */
 export interface Candidate {
     readonly id: WorkerId;
-    /** What it has left; a caller that places unit after unit takes from it. */
+    /** Free capacity; reduced by the caller after each placed unit. */
     readonly free: { -readonly [K in keyof Resources]: Resources[K] };
     readonly rack: string;
     readonly zone: string;
-    /** Tasks of the step that it runs already. */
+    /** Number of tasks of the step that already run on the worker, where the step limits them. */
     tasksOfStep: number;
-    /** It holds the step's data. */
+    /** Whether the worker holds the step's data. */
     readonly isDataLocal: boolean;
-    /** How much slower it works than the others, 1 for as fast. */
+    /** Slowdown relative to other workers, 1 for equal speed. */
     readonly slowness: number;
-    /** The last task that ended there failed. */
+    /** Whether a task failed there recently and none has succeeded since. */
     readonly hasRecentFailure: boolean;
 }
 
-/** What is to be placed at once. */
+/** The tasks to place together and the workers to choose from. */
 export interface PlacementRequest {
     readonly needs: Resources;
-    /** Tasks: 1, or a whole gang. */
+    /** Number of tasks: 1, or the size of the gang. */
     readonly count: number;
     readonly candidates: readonly Candidate[];
-    /** At most this many tasks of the step on one worker; 0 for no limit. */
+    /** Maximum number of the step's tasks on one worker; 0 for no limit. */
     readonly maxPerWorker: number;
-    /** The tasks should share a rack. */
+    /** Whether the tasks should share a rack. */
     readonly isRackLocal: boolean;
-    /** Availability zones in the order in which they are to be filled; none goes before another by default. */
+    /** Availability zones by preference, lowest first; zones without an entry rank 0. */
     readonly zoneRanks?: ReadonlyMap<string, number>;
 }
 
@@ -49,10 +49,10 @@
 }
 
 /**
- * Chooses a worker for each task, or none at all when they do not fit together. Tasks go where
- * least is left over afterwards, so that the largest holes stay whole for wide tasks.
+ * Selects a worker for each task, or none if the tasks don't all fit. Uses best fit, which keeps
+ * large gaps free for wide tasks.
  *
- * @param request What is to be placed.
+ * @param request The tasks and the candidates.
  * @returns One worker per task, or `undefined`.
  */
 export function placeUnit(request: PlacementRequest): WorkerId[] | undefined {
@@ -67,7 +67,7 @@
             return chosen;
         }
     }
-    // Slower across racks, but it runs: waiting for a whole rack may take for ever.
+    // Falls back to several racks, since a rack with enough capacity may never come free.
     return fillWorkers(request, request.candidates);
 }
 
@@ -110,11 +110,11 @@
 }
 
 /**
- * Counts how many tasks a room takes.
+ * Counts how many tasks fit into a capacity.
  *
- * @param capacity What is there.
- * @param needs What each task takes.
- * @returns Tasks; without a bound when they need nothing.
+ * @param capacity The available resources.
+ * @param needs The resources that each task takes.
+ * @returns The number of tasks; unbounded if they need nothing.
  */
 export function countFittingTasks(capacity: Resources, needs: Resources): number {
     const countFor = (available: number, required: number): number =>
@@ -127,7 +127,9 @@
     return Math.max(0, count);
 }
 
-/** Near and fast first, then by zone, then best fit, then the id so that equal workers keep their order. */
+/**
+ * Compares by data locality, speed, zone rank and best fit; the id makes the order deterministic.
+ */
 function compareSlots(
     a: WorkerSlots,
     b: WorkerSlots,
--- a/dispatch/ranking.ts
+++ b/dispatch/ranking.ts
@@ -1,7 +1,6 @@
 /**
- * Who goes first. The pattern: after an outage, or in a burst beyond the floor's room, more waits
- * than can be done in time. First come, first served then makes everybody late in turn: the room
- * goes to jobs whose time is over anyway.
+ * Ranks waiting steps. In an overload, first-come-first-served order would make every job late, so
+ * jobs that can still meet their latency objective go first.
  *
  * @example
  * ```ts
@@ -16,24 +15,24 @@
 import type { JobSpec } from "../job/mod.ts";
 import type { ReadyStep } from "./ready_steps.ts";
 
-/** Thirty million years in ms: a priority outweighs every time. */
+/** Rank distance between two priorities; larger than any timestamp and offset. */
 const RANK_PER_PRIORITY = 1e18;
-/** Jobs that will be late go behind those of their priority that can still be in time. */
+/** Offset of jobs that will miss their latency objective. */
 const LATE_RANK_OFFSET = 2e17;
-/** Jobs whose time is over go behind all others of their priority. */
+/** Offset of jobs that have expired. */
 const EXPIRED_RANK_OFFSET = 4e17;
-/** A job that took this many times its objective is worth nothing to its caller any more. */
+/** Multiple of its latency objective after which a job has expired. */
 const EXPIRY_FACTOR = 3;
-/** Estimates are off by half and more: a job counts as over only when it surely is. */
+/** Tolerance for wrong estimates before a job counts as expired. */
 const ESTIMATE_ERROR_MARGIN = 1.5;
 
 /**
- * Ranks a step among those that wait: by its queue's priority; then jobs that can still be in time,
- * those that will be late, those that are of no use any more; within each by the time they came.
+ * Ranks a waiting step: by the priority of its queue; then jobs that can meet their latency
+ * objective, jobs that will miss it and expired jobs; then by submission time.
  *
  * @param step The step.
  * @param queue Its queue.
- * @param wallMs The time, in ms since 1970.
+ * @param wallMs The current time, in ms since 1970.
  * @returns The rank; the smallest goes first.
  */
 export function rankStep(
@@ -53,11 +52,11 @@
 }
 
 /**
- * Computes the time in which a job should be done, by its caller's estimates.
+ * Computes the latency objective of a job from the caller's estimates.
  *
- * @param spec The job; `undefined` when it is forgotten.
+ * @param spec The job; `undefined` if it is no longer stored.
  * @param queue Its queue.
- * @returns Ms.
+ * @returns The objective, in ms.
  */
 export function computeLatencyObjectiveMs(
     spec: JobSpec | undefined,
@@ -67,11 +66,11 @@
     return queue.stretch * Math.max(0, ...pathsMs) + queue.targetLatencyMs;
 }
 
-/** The longest chain of steps from one on that wait for each other, in ms of their estimates. */
+/** Computes the longest chain of dependent steps from a step on, by their estimates in ms. */
 function computeCriticalPathMs(spec: JobSpec | undefined, from: number): number {
     const steps = spec?.steps ?? [];
     const pathsMs = new Array<number>(steps.length).fill(0);
-    // Steps wait only for earlier ones, so the later ones' chains are known first.
+    // Steps depend only on earlier ones, so the paths of later steps are computed first.
     for (let i = steps.length - 1; i >= from; i--) {
         const dependentPathsMs = steps.map((step, k) =>
             step.after.includes(i) ? (pathsMs[k] ?? 0) : 0,
--- a/dispatch/ranking_test.ts
+++ b/dispatch/ranking_test.ts
@@ -25,9 +25,8 @@
 });
 
 test("after an outage new jobs are in time although the backlog is not", (t) => {
-    // For 6 s no worker answers; callers see their jobs late whatever is done. The backlog is three
-    // times what the floor does in the time that counts. Served in turn it would make the next
-    // hundreds late too; served last it costs only those that were late already.
+    // During a 6 s outage a backlog of late jobs builds up. Guards against serving it first, which
+    // would make new jobs late too.
     let isOut = true;
     const cluster = new FloorFixture({
         workers: 2,
--- a/dispatch/reservation.ts
+++ b/dispatch/reservation.ts
@@ -1,14 +1,11 @@
 /**
- * Room held for gangs. The pattern: a gang needs room for all its tasks at once, on the few workers
- * that its queue's policy admits. Small tasks of less urgent queues fill each gap as it opens, so that
- * a wide gang waits for many seconds on a full floor although room for it passes by every second.
- * A blocked gang therefore holds just enough workers: less urgent work stays off them, and tasks
- * there that resume from a checkpoint make way, where the gang starts by it.
+ * Selects workers to reserve for a gang and tasks to preempt on them. Without reservations, small
+ * tasks fill each gap on a full cluster and a wide gang starves.
  *
  * @example
  * ```ts
- * import { selectHeld } from "./reservation.ts";
- * const held = selectHeld(candidates, { needs, count: 6 });
+ * import { selectReservedWorkers } from "./reservation.ts";
+ * const reserved = selectReservedWorkers(candidates, { needs, count: 6 });
  * ```
  *
  * @module
@@ -18,20 +15,19 @@
 import { countFittingTasks } from "./placement.ts";
 import type { MemberRun } from "./types.ts";
 
-/** A worker that the gang may run on. */
+/** A worker that may be reserved for a gang. */
 export interface ReservationCandidate {
     readonly id: WorkerId;
-    /** What is free, and what less urgent work takes. */
+    /** Free capacity plus the capacity in use by less urgent tasks. */
     readonly capacityAfterPreemption: Resources;
 }
 
 /**
- * Chooses workers that together can hold a gang once less urgent work has left them: those with the
- * most attainable room, so that few are held.
+ * Selects the fewest workers that can run a gang after preemption, largest capacity first.
  *
  * @param candidates The workers that the gang may run on.
- * @param gang What each task needs, and how many there are.
- * @returns The workers and how many tasks each is to take; empty when they could not hold the gang.
+ * @param gang The needs of each task and the number of tasks.
+ * @returns The number of tasks by worker; empty if the gang does not fit.
  */
 export function selectReservedWorkers(
     candidates: readonly ReservationCandidate[],
@@ -57,13 +53,14 @@
 }
 
 /**
- * Chooses the tasks that make way on one worker: those that resume from a checkpoint, are less
- * urgent and stand alone; the largest first, so that few are stopped.
+ * Selects the tasks to preempt on one worker: less urgent ones that resume from a checkpoint,
+ * largest first. Capacity of tasks that are already stopping is counted.
  *
- * @param members What runs there.
- * @param missingCpu How much must become free, in thousandths of a core.
+ * @param members The tasks on the worker.
+ * @param missingCpu The CPU to free, in millicores.
  * @param priority The gang's priority.
- * @returns The tasks to stop; empty when they would not free enough.
+ * @returns The tasks to stop; empty if they would not free enough, or if enough is being freed
+ * already.
  */
 export function selectVictims(
     members: Iterable<MemberRun>,
--- a/dispatch/reservation_test.ts
+++ b/dispatch/reservation_test.ts
@@ -23,8 +23,7 @@
 });
 
 test("a wide gang starts within seconds on a floor full of small tasks", (t) => {
-    // The caller's hero shot waits. Batches of small tasks arrive faster than they end and take
-    // each gap; without held room the gang starts when the batches stop coming.
+    // Guards against starvation: small tasks arrive faster than they end and fill each gap.
     const cluster = new FloorFixture({
         workers: 4,
         taskMs: 2_000,
@@ -63,8 +62,8 @@
 });
 
 test("tasks make way for a gang only where all of its workers come free by it", (t) => {
-    // Two workers: one full of tasks that resume from checkpoints, one of long tasks that don't. A gang needs
-    // both. Stopped for it, the first worker's tasks would wait as long as it does, beside a worker that stands idle.
+    // One worker runs tasks with checkpoints, the other long tasks without. Preempting only the
+    // first would leave it idle until the second is free.
     const cluster = new FloorFixture({
         workers: 2,
         computeTaskMs: (task) => (task.startsWith("00000000000000b") ? 10_000 : 3_000),
--- a/dispatch/retry_placement.ts
+++ b/dispatch/retry_placement.ts
@@ -1,12 +1,11 @@
 /**
- * Where a task that failed runs again. The pattern: a worker fails all that it starts, within some tens of ms,
- * and therefore has room when the others have none. A task that goes back there uses up its attempts within half
- * a second, and its job, which could be done, is lost.
+ * Selects workers for retries of failed tasks. A faulty worker fails tasks quickly and so often has
+ * free capacity; retries there would exhaust a task's attempts.
  *
  * @example
  * ```ts
- * import { selectForRepetition } from "./retry_placement.ts";
- * const trusted = selectForRepetition(candidates, now - step.failedAt);
+ * import { selectForRetry } from "./retry_placement.ts";
+ * const retryCandidates = selectForRetry(candidates, now - step.failedAt);
  * ```
  *
  * @module
@@ -15,19 +14,18 @@
 import type { Candidate } from "./placement.ts";
 
 /**
- * A repetition waits this long for a worker that is not doubtful, in ms: tasks end, and make room, several times a
- * second. Longer would be a wait with nothing running for a task that fails by its own fault and has made
- * all its workers doubtful.
+ * Longest time that a retry waits for a worker without a recent failure, in ms; bounds the delay of
+ * a task that fails by its own fault on every worker.
  */
 const MAX_HEALTHY_WORKER_WAIT_MS = 2_000;
 
 /**
- * Selects the workers that may run a task again that has failed. With one failure of a hundred by the tasks' own
- * fault and one worker of ten failing everything, a failure tells of its worker nine times out of ten.
+ * Selects the workers that may run a failed task again. Assumes that the worker is the more
+ * likely cause of a failure.
  *
- * @param candidates The workers with admission.
- * @param sinceFailureMs How long ago a task of the step failed last, in ms.
- * @returns Those whose last task did not fail; all of them after a while.
+ * @param candidates The admitted workers.
+ * @param sinceFailureMs The time since a task of the step last failed, in ms.
+ * @returns The workers without a recent failure; all workers after the maximum wait.
  */
 export function selectForRetry(
     candidates: readonly Candidate[],
--- a/dispatch/zone_ranking.ts
+++ b/dispatch/zone_ranking.ts
@@ -1,8 +1,6 @@
 /**
- * Which availability zones a step's tasks go to. The pattern: a zone is cut off for some seconds. What runs there
- * goes on, but its ends are not seen until the cut heals, and a step is done only with its last task: spread over
- * all zones, each cut holds up nearly every job that runs. A step's tasks therefore share as few zones as
- * have room. Lasting tasks are the opposite: each serves on its own, so they are spread, and a cut takes few.
+ * Ranks availability zones for a step's tasks. Tasks of a finite step share few zones, so that a
+ * network partition delays few jobs. Perpetual tasks are spread, so that it affects few of them.
  *
  * @example
  * ```ts
@@ -16,21 +14,21 @@
 
 import type { Candidate } from "./placement.ts";
 
-/** What the choice of a zone rests on, beside the workers with room. */
+/** The current zone usage of a step. */
 export interface ZoneUsage {
-    /** Tasks of the step that run now, by zone. */
+    /** Running tasks of the step, by zone. */
     readonly tasksByZone: ReadonlyMap<string, number>;
-    /** Whether the step's tasks should be apart. */
+    /** Whether the step's tasks are spread over zones. */
     readonly isSpread: boolean;
 }
 
 /**
- * Ranks zones for the next task of a step: for tasks that belong together the zone with most of them first, for
- * tasks that should be apart the one with fewest; then by room, so that steps take turns over the zones.
+ * Ranks zones for the next task of a step: by the number of its tasks, descending to pack and
+ * ascending to spread; then by free CPU, which distributes steps over the zones.
  *
  * @param candidates The workers that may take the task.
- * @param usage What runs where.
- * @returns A rank by zone, 0 for the first.
+ * @param usage The zone usage of the step.
+ * @returns The rank by zone, 0 for the first.
  */
 export function rankZones(candidates: readonly Candidate[], usage: ZoneUsage): Map<string, number> {
     const freeCpu = new Map<string, number>();
--- a/dispatch/zone_ranking_test.ts
+++ b/dispatch/zone_ranking_test.ts
@@ -30,7 +30,7 @@
     return cluster;
 }
 
-/** The zones in which a job's tasks began, one entry a task. */
+/** Lists the zones in which a job's tasks started, one entry per task. */
 function listZones(cluster: FloorFixture, job: string): string[] {
     return cluster.runs
         .filter((run) => run.task.startsWith(job))
@@ -47,8 +47,6 @@
 });
 
 test("a cut of one zone holds up only the jobs that run there", (t) => {
-    // The callers of most jobs notice nothing of a cut zone. While there is room, each job's tasks share
-    // one zone, and jobs take turns over the zones; spread over all, every job would wait for the cut's end.
     const cluster = startCluster();
     const jobs = Array.from({ length: 4 }, (_, i) => `00000000000000b${i}`);
     for (const job of jobs) {
