--- a/dispatch/_gang_reservations.ts
+++ b/dispatch/_gang_reservations.ts
@@ -118,7 +118,7 @@
         }
         step.preemptedAt = now;
         for (const victim of victims) {
-            this.#context.recordDecision("decision", "task makes way", {
+            this.#context.recordDecision("decision", "task preempted", {
                 request: victim.unit.job,
                 task: victim.name,
                 worker: victim.worker,
--- a/dispatch/admission_test.ts
+++ b/dispatch/admission_test.ts
@@ -4,13 +4,13 @@
 
 const WORKERS = [buildWorkerRecord(), buildWorkerRecord()];
 
-test("a job that some empty worker could run is accepted", (t) => {
+test("accepts a job that fits on an idle worker", (t) => {
     const needs = { cpu: 16_000, memoryMb: 32_000, gpu: 0 };
     t.is(checkFeasible(buildSpec({ count: 50, needs }), WORKERS), undefined);
     t.is(checkFeasible(buildSpec({ requiredLabel: "a" }), WORKERS), undefined);
 });
 
-test("a job that no worker could ever run is refused with the reason", (t) => {
+test("refuses a job that no worker can ever run and gives the reason", (t) => {
     const large = buildSpec({ needs: { cpu: 16_001, memoryMb: 1, gpu: 0 } });
     t.regex(checkFeasible(large, WORKERS) ?? "", /step 0: no worker is large enough/);
     t.regex(checkFeasible(buildSpec({ requiredLabel: "gpu" }), WORKERS) ?? "", /label gpu/);
@@ -18,11 +18,11 @@
     t.regex(checkFeasible(gang, WORKERS) ?? "", /room for 8 of its 9 tasks/);
 });
 
-test("nothing is refused while no worker is on record", (t) => {
+test("accepts every job while no worker is known", (t) => {
     t.is(checkFeasible(buildSpec({ requiredLabel: "gpu" }), []), undefined);
 });
 
-test("a floor of many hopeless jobs goes on serving the others", (t) => {
+test("many infeasible jobs do not block feasible ones", (t) => {
     const cluster = new FloorFixture({ workers: 4 });
     cluster.runFor(100);
     const needs = { cpu: 64_000, memoryMb: 1_000, gpu: 0 };
--- a/dispatch/advice_plan_test.ts
+++ b/dispatch/advice_plan_test.ts
@@ -13,7 +13,7 @@
     }));
 }
 
-test("a wide step asks about as many workers as it needs, in calls at the same time", (t) => {
+test("a wide step asks about enough workers in concurrent calls", (t) => {
     const calls = planAdvice({
         workers: buildWorkers(380, 2),
         tasks: 40,
@@ -29,7 +29,7 @@
     t.true(calls.every((call) => call.length * POLICY.perWorkerMs <= POLICY.decideMs));
 });
 
-test("a small step asks about few workers, in one call", (t) => {
+test("a small step asks about the minimum number of workers in one call", (t) => {
     const calls = planAdvice({
         workers: buildWorkers(380, 3),
         tasks: 2,
@@ -39,7 +39,7 @@
     t.deepEqual(calls, [buildWorkers(30, 0).map(({ id }) => id)]);
 });
 
-test("on a floor without room a step takes no more than its part of the calls", (t) => {
+test("limits the concurrent calls of a step when no worker has capacity", (t) => {
     const calls = planAdvice({
         workers: buildWorkers(1_000, 0),
         tasks: 40,
@@ -50,11 +50,11 @@
     t.true(calls.flat().length <= 400);
 });
 
-test("nobody to ask about means no call", (t) => {
+test("plans no call without workers", (t) => {
     t.deepEqual(planAdvice({ workers: [], tasks: 3, admissionRate: 1, policy: POLICY }), []);
 });
 
-test("a queue's share of good workers follows its answers", (t) => {
+test("the admission rate of a queue converges to its answers", (t) => {
     const rates = new AdmissionRates();
     const queue = "composites" as QueueName;
     t.is(rates.get(queue), 0.5);
@@ -64,7 +64,7 @@
     t.true(Math.abs(rates.get(queue) - 0.35) < 0.01);
 });
 
-test("a gang wider than one call's answers starts as soon as its workers' tickets are there", (t) => {
+test("a gang that needs several advice calls starts before its tickets expire", (t) => {
     // A call covers 100 workers and takes 1.2 s, and tickets expire after 2.5 s: sequential calls
     // would let the first tickets expire before the last arrive.
     const queue = buildQueue({ advice: POLICY });
--- a/dispatch/advice_scheduler_test.ts
+++ b/dispatch/advice_scheduler_test.ts
@@ -20,7 +20,7 @@
     };
 }
 
-test("lanes go where the load is, and every queue has one", (t) => {
+test("assigns lanes in proportion to load, at least one per queue", (t) => {
     const plan = planLanes(LANES, [
         { queue: SLOW, load: 1.2 },
         { queue: FAST, load: 0.3 },
@@ -29,7 +29,7 @@
     t.is(plan.get(FAST)?.length, 1);
 });
 
-test("fewer lanes than queues are shared", (t) => {
+test("queues share lanes if there are fewer lanes than queues", (t) => {
     const plan = planLanes(["f1"] as LaneId[], [
         { queue: SLOW, load: 1 },
         { queue: FAST, load: 1 },
@@ -38,7 +38,7 @@
     t.deepEqual(plan.get(FAST), ["f1"]);
 });
 
-test("a burst of slow calls leaves the urgent queue's lanes free", (t) => {
+test("a burst of slow calls does not occupy the urgent queue's lanes", (t) => {
     // A short urgent call that waits behind a 0.7 s call misses its latency objective.
     const scheduler = new AdviceScheduler();
     scheduler.setLanes(LANES);
@@ -55,7 +55,7 @@
     );
 });
 
-test("a call without an answer leaves its lane alone for a while", (t) => {
+test("a lane backs off after a failed call", (t) => {
     const scheduler = new AdviceScheduler();
     scheduler.setLanes(["f1" as LaneId]);
     scheduler.addCall(buildCall(1, FAST, 15), 0, 0);
--- a/dispatch/evacuation_test.ts
+++ b/dispatch/evacuation_test.ts
@@ -15,7 +15,7 @@
     return cluster;
 }
 
-test("work that cannot be done before its worker leaves goes elsewhere at once", (t) => {
+test("evacuates tasks that cannot finish before their worker leaves", (t) => {
     const cluster = drainFirstWorker({ taskMs: 5_000, leavesInMs: 3_000 });
     cluster.runFor(2_600);
     t.deepEqual(
@@ -25,14 +25,14 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("work that can be done in time stays", (t) => {
+test("keeps tasks that finish before their worker leaves", (t) => {
     const cluster = drainFirstWorker({ taskMs: 2_500, leavesInMs: 4_000 });
     cluster.runFor(4_000);
     t.is(cluster.runs.length, 2);
     t.is(cluster.getState(JOB), "complete");
 });
 
-test("nothing is stopped while no other worker has room for it", (t) => {
+test("stops no task while no other worker has capacity for it", (t) => {
     const cluster = new FloorFixture({ workers: 1, taskMs: 5_000 });
     cluster.submit(JOB, buildSpec({ count: 2, estimateMs: 5_000, savesProgress: true }));
     cluster.runFor(200);
@@ -44,7 +44,7 @@
     );
 });
 
-test("a task that lasts moves before its worker leaves", (t) => {
+test("evacuates a perpetual task before its worker leaves", (t) => {
     const cluster = new FloorFixture({ workers: 1, taskMs: 1e9 });
     cluster.submit(JOB, buildSpec({ count: 1, isPerpetual: true }));
     cluster.runFor(200);
--- a/dispatch/matching_test.ts
+++ b/dispatch/matching_test.ts
@@ -30,7 +30,7 @@
     };
 }
 
-test("only workers that got room since a version are listed, the newest first", (t) => {
+test("lists only the workers that gained capacity since a version, newest first", (t) => {
     const book = new WorkerRegistry({ firstFence: 1, leaseMs: 1_000, maxReportAgeMs: 3_500 });
     const [a, b, c] = ["a", "b", "c"].map((id) => book.ensureWorker(buildRecord(id), 0));
     const before = book.capacityVersion;
@@ -47,7 +47,7 @@
     t.true(book.listChangedSince(0).includes(b!));
 });
 
-test("a waiting task starts as soon as one that filled its worker has ended", (t) => {
+test("a waiting task starts when the task that occupies its worker ends", (t) => {
     const cluster = new FloorFixture({ workers: 2, taskMs: 600 });
     cluster.submit(FULL, buildSpec({ count: 2, needs: WHOLE }));
     cluster.runFor(100);
@@ -58,7 +58,7 @@
     t.is(countStarts(cluster, WAITING), 1);
 });
 
-test("a waiting task starts when the pause of the only worker with room is over", (t) => {
+test("a waiting task starts when the quarantine of the only free worker ends", (t) => {
     // No event occurs at that moment: only the clock makes the worker usable again.
     const cluster = new FloorFixture({
         workers: 1,
@@ -75,7 +75,7 @@
     t.is(cluster.getState(WAITING), "complete");
 });
 
-test("a waiting task starts on a worker that joins, and on one that answers again", (t) => {
+test("a waiting task starts on a worker that joins and on one that responds again", (t) => {
     let isSilent = true;
     const cluster = new FloorFixture({
         workers: 1,
@@ -95,7 +95,7 @@
     t.is(cluster.getState(WAITING), "complete");
 });
 
-test("a task whose ticket ran out while it waited asks again and starts", (t) => {
+test("a waiting task renews its expired ticket and starts", (t) => {
     // Tickets expire after 500 ms; the only worker is busy for 2 s.
     const queue = buildQueue({ advice: { decideMs: 20, perWorkerMs: 0, validMs: 500 } });
     const cluster = new FloorFixture({
@@ -111,7 +111,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("a backlog of hundreds of jobs drains in order of age, none forgotten", (t) => {
+test("a backlog of hundreds of jobs runs completely, in order of submission", (t) => {
     const cluster = new FloorFixture({ workers: 4, taskMs: 50, isChecked: false });
     const ids = Array.from({ length: 300 }, (_unused, i) => (i + 1).toString(16).padStart(16, "0"));
     ids.forEach((id) =>
--- a/dispatch/placement_test.ts
+++ b/dispatch/placement_test.ts
@@ -24,18 +24,18 @@
     isRackLocal: false,
 };
 
-test("a task goes where least is left over", (t) => {
+test("places a task by best fit", (t) => {
     const candidates = [buildCandidate("big", 16_000), buildCandidate("tight", 4_500)];
     t.deepEqual(placeUnit({ ...REQUEST, candidates }), ["tight"]);
 });
 
-test("a gang is placed whole or not at all", (t) => {
+test("places all tasks of a gang or none", (t) => {
     const candidates = [buildCandidate("a", 8_000), buildCandidate("b", 5_000)];
     t.is(placeUnit({ ...REQUEST, count: 4, candidates }), undefined);
     t.is(placeUnit({ ...REQUEST, count: 3, candidates })?.length, 3);
 });
 
-test("a rack-local gang takes one rack when one has room, else what there is", (t) => {
+test("places a rack-local gang in one rack if possible, otherwise across racks", (t) => {
     const candidates = [
         buildCandidate("a", 4_000, { rack: "r1" }),
         buildCandidate("b", 4_000, { rack: "r2" }),
@@ -46,7 +46,7 @@
     t.is(placeUnit({ ...REQUEST, count: 3, isRackLocal: true, candidates })?.length, 3);
 });
 
-test("no placement is over a worker's room or the step's limit per worker", (t) => {
+test("never exceeds a worker's capacity or the step's limit per worker", (t) => {
     fc.assert(
         fc.property(
             fc.array(fc.integer({ min: 0, max: 16_000 }), { minLength: 1, maxLength: 8 }),
--- a/dispatch/ranking_test.ts
+++ b/dispatch/ranking_test.ts
@@ -4,7 +4,7 @@
 
 const URGENT = buildQueue({ stretch: 1.5, targetLatencyMs: 250 });
 
-test("the objective follows the longest chain of steps", (t) => {
+test("the latency objective follows the critical path", (t) => {
     const spec = buildSpec(
         { estimateMs: 400 },
         { estimateMs: 900 },
@@ -13,7 +13,7 @@
     t.is(computeLatencyObjectiveMs(spec, URGENT), 1.5 * 900 + 250);
 });
 
-test("priority goes first, then use, then age", (t) => {
+test("ranks by priority, then by lateness, then by age", (t) => {
     const job = (acceptedAt: number) =>
         ({ step: 0, job: { acceptedAt, spec: buildSpec({}) } }) as never;
     const slow = buildQueue({ priority: 2 });
@@ -24,7 +24,7 @@
     t.true(rank(10_000) < rank(99_000, slow));
 });
 
-test("after an outage new jobs are in time although the backlog is not", (t) => {
+test("new jobs meet their objective after an outage despite the backlog", (t) => {
     // During a 6 s outage a backlog of late jobs builds up. Guards against serving it first, which
     // would make new jobs late too.
     let isOut = true;
--- a/dispatch/reservation_test.ts
+++ b/dispatch/reservation_test.ts
@@ -11,7 +11,7 @@
     return { id: id as WorkerId, capacityAfterPreemption: { cpu, memoryMb: 32_000, gpu: 0 } };
 }
 
-test("just enough workers are held, and none for a gang that can not fit", (t) => {
+test("reserves the fewest workers, and none for a gang that does not fit", (t) => {
     const candidates = [buildCandidate("a", 4_000), buildCandidate("b", 16_000)];
     const needs = { cpu: 4_000, memoryMb: 1_000, gpu: 0 };
     t.deepEqual(
@@ -22,7 +22,7 @@
     t.is(selectReservedWorkers(candidates, { needs, count: 6 }).size, 0);
 });
 
-test("a wide gang starts within seconds on a floor full of small tasks", (t) => {
+test("a wide gang starts within seconds on a cluster full of small tasks", (t) => {
     // Guards against starvation: small tasks arrive faster than they end and fill each gap.
     const cluster = new FloorFixture({
         workers: 4,
@@ -61,7 +61,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("tasks make way for a gang only where all of its workers come free by it", (t) => {
+test("preempts tasks for a gang only if that frees all of its workers", (t) => {
     // One worker runs tasks with checkpoints, the other long tasks without. Preempting only the
     // first would leave it idle until the second is free.
     const cluster = new FloorFixture({
--- a/dispatch/retry_placement_test.ts
+++ b/dispatch/retry_placement_test.ts
@@ -16,7 +16,7 @@
     };
 }
 
-test("a repetition goes to workers whose last task did not fail", (t) => {
+test("a retry goes to workers without a recent failure", (t) => {
     const candidates = [buildCandidate("w1", true), buildCandidate("w2", false)];
     t.deepEqual(
         selectForRetry(candidates, 100).map(({ id }) => id),
@@ -24,7 +24,7 @@
     );
 });
 
-test("with doubtful workers only it waits a while, not for ever", (t) => {
+test("a retry waits for a limited time if every worker had a recent failure", (t) => {
     const candidates = [buildCandidate("w1", true)];
     t.is(selectForRetry(candidates, 1_999).length, 0);
     t.is(selectForRetry(candidates, 2_000).length, 1);
--- a/dispatch/zone_ranking_test.ts
+++ b/dispatch/zone_ranking_test.ts
@@ -37,7 +37,7 @@
         .map((run) => cluster.durable.workers.get(run.worker)?.zone ?? "");
 }
 
-test("the zone with tasks of the step goes first, then the one with most room", (t) => {
+test("ranks zones by tasks of the step, then by free CPU", (t) => {
     const candidates = [buildCandidate("z1", 9), buildCandidate("z2", 4), buildCandidate("z3", 20)];
     const tasksByZone = new Map([["z2", 1]]);
     const ranks = rankZones(candidates, { tasksByZone, isSpread: false });
@@ -46,7 +46,7 @@
     t.deepEqual([...spread.keys()], ["z3", "z1", "z2"]);
 });
 
-test("a cut of one zone holds up only the jobs that run there", (t) => {
+test("packs each job into one zone and distributes jobs over the zones", (t) => {
     const cluster = startCluster();
     const jobs = Array.from({ length: 4 }, (_, i) => `00000000000000b${i}`);
     for (const job of jobs) {
@@ -61,14 +61,14 @@
     t.is(new Set(zones.flatMap((set) => [...set])).size, 4);
 });
 
-test("a step wider than a zone's room takes what there is elsewhere at once", (t) => {
+test("a step that exceeds the capacity of a zone uses other zones at once", (t) => {
     const cluster = startCluster();
     cluster.submit(JOB, buildSpec({ count: 40, needs: { cpu: 2_000, memoryMb: 100, gpu: 0 } }));
     cluster.runFor(300);
     t.is(listZones(cluster, JOB).length, 40);
 });
 
-test("lasting tasks are spread, so that the loss of a zone takes few", (t) => {
+test("spreads perpetual tasks evenly over zones", (t) => {
     const cluster = startCluster();
     cluster.submit(JOB, buildSpec({ count: 8, isPerpetual: true }));
     cluster.runFor(300);
