--- a/dispatch/_candidates.ts
+++ b/dispatch/_candidates.ts
@@ -91,7 +91,7 @@
     const { preferredRack } = step.spec;
     return {
         id: worker.record.id,
-        free: { ...getFreeResources(worker) },
+        freeCapacity: { ...getFreeResources(worker) },
         rack: worker.record.labels[1] ?? "",
         zone: worker.record.zone,
         tasksOfStep: step.spec.maxPerWorker > 0 ? countTasksOfStep(step, worker) : 0,
@@ -126,9 +126,9 @@
         const candidate = candidates.find((other) => other.id === id);
         if (candidate !== undefined) {
             candidate.tasksOfStep += 1;
-            candidate.free.cpu -= needs.cpu;
-            candidate.free.memoryMb -= needs.memoryMb;
-            candidate.free.gpu -= needs.gpu;
+            candidate.freeCapacity.cpu -= needs.cpu;
+            candidate.freeCapacity.memoryMb -= needs.memoryMb;
+            candidate.freeCapacity.gpu -= needs.gpu;
         }
     }
 }
--- a/dispatch/_crash_isolation.ts
+++ b/dispatch/_crash_isolation.ts
@@ -156,14 +156,14 @@
 
     /** Places a suspect on workers without recent starts, those with the fewest tasks first. */
     #placeIsolated(step: ReadyStep, admitted: readonly Candidate[]): WorkerId[] | undefined {
-        const free = this.#selectStable(admitted).filter(({ id }) => {
+        const eligible = this.#selectStable(admitted).filter(({ id }) => {
             const worker = this.#context.book.findWorker(id);
             return worker !== undefined && !hasRecentStart(worker);
         });
         if (step.spec.isGang) {
-            return placeUnit(createPlacementRequest(step, free));
+            return placeUnit(createPlacementRequest(step, eligible));
         }
-        const ranked = [...free].sort((a, b) => this.#countMembers(a) - this.#countMembers(b));
+        const ranked = [...eligible].sort((a, b) => this.#countMembers(a) - this.#countMembers(b));
         for (const candidate of ranked) {
             const chosen = placeUnit(createPlacementRequest(step, [candidate]));
             if (chosen !== undefined) {
@@ -198,19 +198,21 @@
         const ownReservations = [...this.#reservations.values()].filter(
             (key) => key === step.key,
         ).length;
-        const wanted = step.spec.isGang ? step.spec.count : this.listSuspects(step).length;
-        if (this.#reservations.size >= maxReservations || ownReservations >= wanted) {
+        const wantedReservations = step.spec.isGang
+            ? step.spec.count
+            : this.listSuspects(step).length;
+        if (this.#reservations.size >= maxReservations || ownReservations >= wantedReservations) {
             return;
         }
         const needs = computeReservedResources(step.spec);
-        const [best] = this.#selectStable(candidates)
+        const [leastLoaded] = this.#selectStable(candidates)
             .filter(({ id }) => !this.#reservations.has(id) && !this.#isolatedWorkers.has(id))
             .filter(({ id }) =>
                 hasResourcesFor(book.findWorker(id)?.record.capacity ?? NO_RESOURCES, needs),
             )
             .sort((a, b) => this.#countMembers(a) - this.#countMembers(b));
-        if (best !== undefined) {
-            this.#reservations.set(best.id, step.key);
+        if (leastLoaded !== undefined) {
+            this.#reservations.set(leastLoaded.id, step.key);
         }
     }
 
--- a/dispatch/_placer.ts
+++ b/dispatch/_placer.ts
@@ -432,6 +432,9 @@
 ): AdviceCandidate[] {
     const needs = computeReservedResources(step.spec);
     return [...candidates]
-        .sort((a, b) => b.free.cpu - a.free.cpu)
-        .map(({ id, free }) => ({ id, taskSlots: countFittingTasks(free, needs) }));
+        .sort((a, b) => b.freeCapacity.cpu - a.freeCapacity.cpu)
+        .map(({ id, freeCapacity }) => ({
+            id,
+            taskSlots: countFittingTasks(freeCapacity, needs),
+        }));
 }
--- a/dispatch/advice_plan_test.ts
+++ b/dispatch/advice_plan_test.ts
@@ -6,7 +6,7 @@
 
 const POLICY = { decideMs: 507, perWorkerMs: 7.28, validMs: 2_500 };
 
-function buildWorkers(count: number, taskSlots: number): AdviceCandidate[] {
+function buildCandidates(count: number, taskSlots: number): AdviceCandidate[] {
     return Array.from({ length: count }, (_none, i) => ({
         id: `w${i + 1}` as WorkerId,
         taskSlots,
@@ -15,7 +15,7 @@
 
 test("a wide step asks about enough workers in concurrent calls", (t) => {
     const calls = planAdvice({
-        workers: buildWorkers(380, 2),
+        workers: buildCandidates(380, 2),
         tasks: 40,
         admissionRate: 0.4,
         policy: POLICY,
@@ -31,17 +31,17 @@
 
 test("a small step asks about the minimum number of workers in one call", (t) => {
     const calls = planAdvice({
-        workers: buildWorkers(380, 3),
+        workers: buildCandidates(380, 3),
         tasks: 2,
         admissionRate: 0.7,
         policy: { decideMs: 20.8, perWorkerMs: 0.3, validMs: 2_500 },
     });
-    t.deepEqual(calls, [buildWorkers(30, 0).map(({ id }) => id)]);
+    t.deepEqual(calls, [buildCandidates(30, 0).map(({ id }) => id)]);
 });
 
 test("limits the concurrent calls of a step when no worker has capacity", (t) => {
     const calls = planAdvice({
-        workers: buildWorkers(1_000, 0),
+        workers: buildCandidates(1_000, 0),
         tasks: 40,
         admissionRate: 0.4,
         policy: POLICY,
--- a/dispatch/advice_scheduler_test.ts
+++ b/dispatch/advice_scheduler_test.ts
@@ -6,8 +6,8 @@
 import type { AdviceCall, LaneId, StepKey } from "./types.ts";
 
 const LANES = ["f1", "f2", "f3", "f4", "f5", "f6"] as LaneId[];
-const SLOW = "composites" as QueueName;
-const FAST = "previews" as QueueName;
+const SLOW_QUEUE = "composites" as QueueName;
+const URGENT_QUEUE = "previews" as QueueName;
 
 function buildCall(id: number, queue: QueueName, decideMs: number): AdviceCall {
     return {
@@ -22,33 +22,33 @@
 
 test("assigns lanes in proportion to load, at least one per queue", (t) => {
     const plan = planLanes(LANES, [
-        { queue: SLOW, load: 1.2 },
-        { queue: FAST, load: 0.3 },
+        { queue: SLOW_QUEUE, load: 1.2 },
+        { queue: URGENT_QUEUE, load: 0.3 },
     ]);
-    t.is(plan.get(SLOW)?.length, 5);
-    t.is(plan.get(FAST)?.length, 1);
+    t.is(plan.get(SLOW_QUEUE)?.length, 5);
+    t.is(plan.get(URGENT_QUEUE)?.length, 1);
 });
 
 test("queues share lanes if there are fewer lanes than queues", (t) => {
     const plan = planLanes(["f1"] as LaneId[], [
-        { queue: SLOW, load: 1 },
-        { queue: FAST, load: 1 },
+        { queue: SLOW_QUEUE, load: 1 },
+        { queue: URGENT_QUEUE, load: 1 },
     ]);
-    t.deepEqual(plan.get(SLOW), ["f1"]);
-    t.deepEqual(plan.get(FAST), ["f1"]);
+    t.deepEqual(plan.get(SLOW_QUEUE), ["f1"]);
+    t.deepEqual(plan.get(URGENT_QUEUE), ["f1"]);
 });
 
 test("a burst of slow calls does not occupy the urgent queue's lanes", (t) => {
     // A short urgent call that waits behind a 0.7 s call misses its latency objective.
     const scheduler = new AdviceScheduler();
     scheduler.setLanes(LANES);
-    scheduler.addCall(buildCall(1, FAST, 15), 0, 0);
+    scheduler.addCall(buildCall(1, URGENT_QUEUE, 15), 0, 0);
     scheduler.startCalls(0).forEach(({ call }) => scheduler.endCall(call.id, true, 15));
     for (let id = 2; id < 30; id++) {
-        scheduler.addCall(buildCall(id, SLOW, 700), 1, 20);
+        scheduler.addCall(buildCall(id, SLOW_QUEUE, 700), 1, 20);
     }
     t.true(scheduler.startCalls(20).length < LANES.length);
-    scheduler.addCall(buildCall(100, FAST, 15), 0, 21);
+    scheduler.addCall(buildCall(100, URGENT_QUEUE, 15), 0, 21);
     t.deepEqual(
         scheduler.startCalls(21).map(({ call }) => call.id),
         [100],
@@ -58,10 +58,10 @@
 test("a lane backs off after a failed call", (t) => {
     const scheduler = new AdviceScheduler();
     scheduler.setLanes(["f1" as LaneId]);
-    scheduler.addCall(buildCall(1, FAST, 15), 0, 0);
+    scheduler.addCall(buildCall(1, URGENT_QUEUE, 15), 0, 0);
     t.is(scheduler.startCalls(0).length, 1);
     scheduler.endCall(1, false, 100);
-    scheduler.addCall(buildCall(2, FAST, 15), 0, 100);
+    scheduler.addCall(buildCall(2, URGENT_QUEUE, 15), 0, 100);
     t.is(scheduler.startCalls(100).length, 0);
     t.is(scheduler.startCalls(5_000).length, 1);
 });
--- a/dispatch/evacuation_test.ts
+++ b/dispatch/evacuation_test.ts
@@ -3,7 +3,7 @@
 import { buildSpec, FloorFixture } from "./_fixtures.ts";
 
 const JOB = "00000000000000a1";
-const LEAVING = "w1" as WorkerId;
+const DRAINING_WORKER = "w1" as WorkerId;
 
 /** Creates two workers with a job on the first one, which then announces its departure. */
 function drainFirstWorker(options: { readonly taskMs: number; readonly leavesInMs: number }) {
@@ -11,7 +11,7 @@
     cluster.submit(JOB, buildSpec({ count: 2, estimateMs: options.taskMs, savesProgress: true }));
     cluster.runFor(200);
     cluster.addWorker("w2" as WorkerId, "10.0.0.2:80");
-    cluster.drainWorker(LEAVING, options.leavesInMs);
+    cluster.drainWorker(DRAINING_WORKER, options.leavesInMs);
     return cluster;
 }
 
@@ -20,7 +20,7 @@
     cluster.runFor(2_600);
     t.deepEqual(
         cluster.runs.map((run) => run.worker),
-        [LEAVING, LEAVING, "w2", "w2"],
+        [DRAINING_WORKER, DRAINING_WORKER, "w2", "w2"],
     );
     t.deepEqual(cluster.violations, []);
 });
@@ -36,10 +36,10 @@
     const cluster = new FloorFixture({ workers: 1, taskMs: 5_000 });
     cluster.submit(JOB, buildSpec({ count: 2, estimateMs: 5_000, savesProgress: true }));
     cluster.runFor(200);
-    cluster.drainWorker(LEAVING, 3_000);
+    cluster.drainWorker(DRAINING_WORKER, 3_000);
     cluster.runFor(2_600);
     t.deepEqual(
-        cluster.workers.get(LEAVING)?.runs.map((run) => run.stopsAt),
+        cluster.workers.get(DRAINING_WORKER)?.runs.map((run) => run.stopsAt),
         [undefined, undefined],
     );
 });
@@ -49,10 +49,10 @@
     cluster.submit(JOB, buildSpec({ count: 1, isPerpetual: true }));
     cluster.runFor(200);
     cluster.addWorker("w2" as WorkerId, "10.0.0.2:80");
-    cluster.drainWorker(LEAVING, 3_000);
+    cluster.drainWorker(DRAINING_WORKER, 3_000);
     cluster.runFor(2_600);
     t.deepEqual(
         cluster.runs.map((run) => run.worker),
-        [LEAVING, "w2"],
+        [DRAINING_WORKER, "w2"],
     );
 });
--- a/dispatch/matching_test.ts
+++ b/dispatch/matching_test.ts
@@ -8,9 +8,9 @@
  * source of capacity that isn't recorded, which would leave steps waiting.
  */
 
-const FULL = "00000000000000a1";
-const WAITING = "00000000000000b2";
-const WHOLE = { cpu: 16_000, memoryMb: 1_000, gpu: 0 };
+const OCCUPYING_JOB = "00000000000000a1";
+const WAITING_JOB = "00000000000000b2";
+const WHOLE_WORKER = { cpu: 16_000, memoryMb: 1_000, gpu: 0 };
 
 function countStarts(cluster: FloorFixture, job: string): number {
     return cluster.runs.filter((run) => run.task.startsWith(job)).length;
@@ -22,8 +22,8 @@
         address: `${id}:80`,
         pool: buildQueue().pool,
         zone: "z",
-        capacity: WHOLE,
-        fullCapacity: WHOLE,
+        capacity: WHOLE_WORKER,
+        fullCapacity: WHOLE_WORKER,
         labels: [],
         instance: "",
         isDraining: false,
@@ -49,13 +49,13 @@
 
 test("a waiting task starts when the task that occupies its worker ends", (t) => {
     const cluster = new FloorFixture({ workers: 2, taskMs: 600 });
-    cluster.submit(FULL, buildSpec({ count: 2, needs: WHOLE }));
+    cluster.submit(OCCUPYING_JOB, buildSpec({ count: 2, needs: WHOLE_WORKER }));
     cluster.runFor(100);
-    cluster.submit(WAITING, buildSpec({ count: 1, needs: WHOLE }));
+    cluster.submit(WAITING_JOB, buildSpec({ count: 1, needs: WHOLE_WORKER }));
     cluster.runFor(400);
-    t.is(countStarts(cluster, WAITING), 0);
+    t.is(countStarts(cluster, WAITING_JOB), 0);
     cluster.runFor(300);
-    t.is(countStarts(cluster, WAITING), 1);
+    t.is(countStarts(cluster, WAITING_JOB), 1);
 });
 
 test("a waiting task starts when the quarantine of the only free worker ends", (t) => {
@@ -63,16 +63,16 @@
     const cluster = new FloorFixture({
         workers: 1,
         taskMs: 100,
-        getEnd: (task) => (task.startsWith(WAITING) ? "done" : "failed"),
+        getEnd: (task) => (task.startsWith(WAITING_JOB) ? "done" : "failed"),
     });
-    cluster.submit(FULL, buildSpec({ count: 1 }));
+    cluster.submit(OCCUPYING_JOB, buildSpec({ count: 1 }));
     cluster.submit("00000000000000c3", buildSpec({ count: 1 }));
     cluster.runFor(700);
-    cluster.submit(WAITING, buildSpec({ count: 1 }));
+    cluster.submit(WAITING_JOB, buildSpec({ count: 1 }));
     cluster.runFor(100);
-    t.is(countStarts(cluster, WAITING), 0);
+    t.is(countStarts(cluster, WAITING_JOB), 0);
     cluster.runFor(9_000);
-    t.is(cluster.getState(WAITING), "complete");
+    t.is(cluster.getState(WAITING_JOB), "complete");
 });
 
 test("a waiting task starts on a worker that joins and on one that responds again", (t) => {
@@ -83,16 +83,16 @@
         getFault: (_kind, worker) =>
             isSilent && worker === "w1" ? { type: "lost" } : { type: "none" },
     });
-    cluster.submit(WAITING, buildSpec({ count: 1, needs: WHOLE }));
+    cluster.submit(WAITING_JOB, buildSpec({ count: 1, needs: WHOLE_WORKER }));
     cluster.runFor(2_000);
-    t.is(countStarts(cluster, WAITING), 0);
+    t.is(countStarts(cluster, WAITING_JOB), 0);
     cluster.addWorker("w2" as WorkerId, "10.0.0.2:80");
-    cluster.submit(FULL, buildSpec({ count: 1, needs: WHOLE }));
+    cluster.submit(OCCUPYING_JOB, buildSpec({ count: 1, needs: WHOLE_WORKER }));
     cluster.runFor(2_000);
-    t.is(cluster.getState(FULL), "complete");
+    t.is(cluster.getState(OCCUPYING_JOB), "complete");
     isSilent = false;
     cluster.runFor(4_000);
-    t.is(cluster.getState(WAITING), "complete");
+    t.is(cluster.getState(WAITING_JOB), "complete");
 });
 
 test("a waiting task renews its expired ticket and starts", (t) => {
@@ -101,13 +101,13 @@
     const cluster = new FloorFixture({
         workers: 1,
         queues: [queue],
-        computeTaskMs: (task) => (task.startsWith(FULL) ? 2_000 : 200),
+        computeTaskMs: (task) => (task.startsWith(OCCUPYING_JOB) ? 2_000 : 200),
     });
-    cluster.submit(FULL, buildSpec({ count: 1, needs: WHOLE }), QUEUE);
+    cluster.submit(OCCUPYING_JOB, buildSpec({ count: 1, needs: WHOLE_WORKER }), QUEUE);
     cluster.runFor(100);
-    cluster.submit(WAITING, buildSpec({ count: 1, needs: WHOLE }), QUEUE);
+    cluster.submit(WAITING_JOB, buildSpec({ count: 1, needs: WHOLE_WORKER }), QUEUE);
     cluster.runFor(3_000);
-    t.is(cluster.getState(WAITING), "complete");
+    t.is(cluster.getState(WAITING_JOB), "complete");
     t.deepEqual(cluster.violations, []);
 });
 
@@ -115,7 +115,7 @@
     const cluster = new FloorFixture({ workers: 4, taskMs: 50, isChecked: false });
     const ids = Array.from({ length: 300 }, (_unused, i) => (i + 1).toString(16).padStart(16, "0"));
     ids.forEach((id) =>
-        cluster.submit(id, { ...buildSpec(), steps: [buildStep({ needs: WHOLE })] }),
+        cluster.submit(id, { ...buildSpec(), steps: [buildStep({ needs: WHOLE_WORKER })] }),
     );
     cluster.runFor(30_000);
     t.true(ids.every((id) => cluster.getState(id) === "complete"));
--- a/dispatch/placement.ts
+++ b/dispatch/placement.ts
@@ -16,7 +16,7 @@
 export interface Candidate {
     readonly id: WorkerId;
     /** Free capacity; reduced by the caller after each placed unit. */
-    readonly free: { -readonly [K in keyof Resources]: Resources[K] };
+    readonly freeCapacity: { -readonly [K in keyof Resources]: Resources[K] };
     readonly rack: string;
     readonly zone: string;
     /** Number of tasks of the step that already run on the worker, where the step limits them. */
@@ -78,10 +78,10 @@
     const slots: WorkerSlots[] = [];
     let total = 0;
     for (const candidate of candidates) {
-        const fits = countAllowedTasks(request, candidate);
-        if (fits > 0) {
-            slots.push({ candidate, taskCount: fits });
-            total += fits;
+        const taskCount = countAllowedTasks(request, candidate);
+        if (taskCount > 0) {
+            slots.push({ candidate, taskCount });
+            total += taskCount;
         }
     }
     if (total < request.count) {
@@ -94,8 +94,8 @@
     }
     slots.sort((a, b) => compareSlots(a, b, request));
     const chosen: WorkerId[] = [];
-    for (const { candidate, taskCount: fits } of slots) {
-        for (let i = 0; i < fits && chosen.length < request.count; i++) {
+    for (const { candidate, taskCount } of slots) {
+        for (let i = 0; i < taskCount && chosen.length < request.count; i++) {
             chosen.push(candidate.id);
         }
     }
@@ -103,7 +103,7 @@
 }
 
 function countAllowedTasks(request: PlacementRequest, candidate: Candidate): number {
-    const fitting = countFittingTasks(candidate.free, request.needs);
+    const fitting = countFittingTasks(candidate.freeCapacity, request.needs);
     const allowed =
         request.maxPerWorker > 0 ? request.maxPerWorker - candidate.tasksOfStep : request.count;
     return Math.max(0, Math.min(fitting, allowed, request.count));
@@ -153,5 +153,5 @@
 }
 
 function computeLeftoverCpu(slot: WorkerSlots, needs: Resources): number {
-    return slot.candidate.free.cpu - slot.taskCount * needs.cpu;
+    return slot.candidate.freeCapacity.cpu - slot.taskCount * needs.cpu;
 }
--- a/dispatch/placement_test.ts
+++ b/dispatch/placement_test.ts
@@ -6,7 +6,7 @@
 function buildCandidate(id: string, cpu: number, overrides: Partial<Candidate> = {}): Candidate {
     return {
         id: id as WorkerId,
-        free: { cpu, memoryMb: 32_000, gpu: 0 },
+        freeCapacity: { cpu, memoryMb: 32_000, gpu: 0 },
         rack: "r1",
         zone: "z1",
         tasksOfStep: 0,
@@ -52,13 +52,16 @@
             fc.array(fc.integer({ min: 0, max: 16_000 }), { minLength: 1, maxLength: 8 }),
             fc.integer({ min: 1, max: 6 }),
             fc.integer({ min: 0, max: 3 }),
-            (rooms, count, maxPerWorker) => {
-                const candidates = rooms.map((cpu, i) => buildCandidate(`w${i}`, cpu));
+            (cpuCapacities, count, maxPerWorker) => {
+                const candidates = cpuCapacities.map((cpu, i) => buildCandidate(`w${i}`, cpu));
                 const placed = placeUnit({ ...REQUEST, count, maxPerWorker, candidates }) ?? [];
                 return candidates.every((candidate) => {
-                    const here = placed.filter((id) => id === candidate.id).length;
-                    const isWithin = maxPerWorker === 0 || here <= maxPerWorker;
-                    return here * REQUEST.needs.cpu <= candidate.free.cpu && isWithin;
+                    const placedCount = placed.filter((id) => id === candidate.id).length;
+                    const isWithinLimit = maxPerWorker === 0 || placedCount <= maxPerWorker;
+                    return (
+                        placedCount * REQUEST.needs.cpu <= candidate.freeCapacity.cpu &&
+                        isWithinLimit
+                    );
                 });
             },
         ),
--- a/dispatch/ranking_test.ts
+++ b/dispatch/ranking_test.ts
@@ -27,12 +27,12 @@
 test("new jobs meet their objective after an outage despite the backlog", (t) => {
     // During a 6 s outage a backlog of late jobs builds up. Guards against serving it first, which
     // would make new jobs late too.
-    let isOut = true;
+    let isOutage = true;
     const cluster = new FloorFixture({
         workers: 2,
         taskMs: 300,
         queues: [URGENT],
-        getFault: () => (isOut ? { type: "refused" } : { type: "none" }),
+        getFault: () => (isOutage ? { type: "refused" } : { type: "none" }),
     });
     const needs = { cpu: 4_000, memoryMb: 500, gpu: 0 };
     const startedAt = new Map<string, number>();
@@ -45,17 +45,17 @@
     for (; cluster.now < 8_000; cluster.runFor(50)) {
         submit();
     }
-    isOut = false;
-    const fresh: string[] = [];
+    isOutage = false;
+    const newJobs: string[] = [];
     for (const end = cluster.now + 6_000; cluster.now < end; cluster.runFor(60)) {
         submit();
-        fresh.push([...startedAt.keys()].at(-1) ?? "");
+        newJobs.push([...startedAt.keys()].at(-1) ?? "");
     }
     cluster.runFor(20_000);
-    const late = fresh.filter((id) => {
+    const lateJobs = newJobs.filter((id) => {
         const run = cluster.runs.find((r) => r.task.startsWith(id));
         return (run?.at ?? Number.POSITIVE_INFINITY) - (startedAt.get(id) ?? 0) > 700;
     });
-    t.true(late.length < fresh.length * 0.35, `${late.length} of ${fresh.length} late`);
+    t.true(lateJobs.length < newJobs.length * 0.35, `${lateJobs.length} of ${newJobs.length} late`);
     t.true([...startedAt.keys()].every((id) => cluster.getState(id) === "complete"));
 });
--- a/dispatch/reservation_test.ts
+++ b/dispatch/reservation_test.ts
@@ -4,8 +4,8 @@
 import { buildQueue, buildSpec, FloorFixture } from "./_fixtures.ts";
 import { selectReservedWorkers } from "./reservation.ts";
 
-const GANGS = "composites" as QueueName;
-const BATCHES = "batches" as QueueName;
+const GANG_QUEUE = "composites" as QueueName;
+const BATCH_QUEUE = "batches" as QueueName;
 
 function buildCandidate(id: string, cpu: number) {
     return { id: id as WorkerId, capacityAfterPreemption: { cpu, memoryMb: 32_000, gpu: 0 } };
@@ -29,8 +29,8 @@
         taskMs: 2_000,
         queues: [
             buildQueue(),
-            buildQueue({ name: GANGS, pathPrefix: "/g/", priority: 1 }),
-            buildQueue({ name: BATCHES, pathPrefix: "/b/", priority: 2 }),
+            buildQueue({ name: GANG_QUEUE, pathPrefix: "/g/", priority: 1 }),
+            buildQueue({ name: BATCH_QUEUE, pathPrefix: "/b/", priority: 2 }),
         ],
     });
     const small = { cpu: 1_000, memoryMb: 500, gpu: 0 };
@@ -40,7 +40,7 @@
         cluster.submit(
             id,
             buildSpec({ count: 10, needs: small, savesProgress: count % 2 === 0 }),
-            BATCHES,
+            BATCH_QUEUE,
         );
     };
     for (; cluster.now < 4_000; cluster.runFor(200)) {
@@ -49,7 +49,7 @@
     const wide = { cpu: 5_000, memoryMb: 500, gpu: 0 };
     const submittedAt = cluster.now;
     const gang = "00000000000000a1";
-    cluster.submit(gang, buildSpec({ count: 4, isGang: true, needs: wide }), GANGS);
+    cluster.submit(gang, buildSpec({ count: 4, isGang: true, needs: wide }), GANG_QUEUE);
     for (; cluster.now < submittedAt + 8_000; cluster.runFor(200)) {
         submitBatch();
     }
@@ -69,21 +69,25 @@
         computeTaskMs: (task) => (task.startsWith("00000000000000b") ? 10_000 : 3_000),
         queues: [
             buildQueue(),
-            buildQueue({ name: GANGS, pathPrefix: "/g/", priority: 1 }),
-            buildQueue({ name: BATCHES, pathPrefix: "/b/", priority: 2 }),
+            buildQueue({ name: GANG_QUEUE, pathPrefix: "/g/", priority: 1 }),
+            buildQueue({ name: BATCH_QUEUE, pathPrefix: "/b/", priority: 2 }),
         ],
     });
     const needs = { cpu: 8_000, memoryMb: 500, gpu: 0 };
-    cluster.submit("00000000000000b1", buildSpec({ count: 2, needs }), BATCHES);
+    cluster.submit("00000000000000b1", buildSpec({ count: 2, needs }), BATCH_QUEUE);
     cluster.runFor(500);
     cluster.submit(
         "00000000000000c1",
         buildSpec({ count: 2, needs, savesProgress: true }),
-        BATCHES,
+        BATCH_QUEUE,
     );
     cluster.runFor(500);
     const wide = { cpu: 16_000, memoryMb: 500, gpu: 0 };
-    cluster.submit("00000000000000a1", buildSpec({ count: 2, isGang: true, needs: wide }), GANGS);
+    cluster.submit(
+        "00000000000000a1",
+        buildSpec({ count: 2, isGang: true, needs: wide }),
+        GANG_QUEUE,
+    );
     cluster.runFor(4_000);
     t.is(cluster.getState("00000000000000c1"), "complete");
     cluster.runFor(20_000);
--- a/dispatch/retry_placement_test.ts
+++ b/dispatch/retry_placement_test.ts
@@ -6,7 +6,7 @@
 function buildCandidate(id: string, hasRecentFailure: boolean): Candidate {
     return {
         id: id as WorkerId,
-        free: { cpu: 1_000, memoryMb: 1_000, gpu: 0 },
+        freeCapacity: { cpu: 1_000, memoryMb: 1_000, gpu: 0 },
         rack: "r1",
         zone: "z1",
         tasksOfStep: 0,
--- a/dispatch/zone_ranking.ts
+++ b/dispatch/zone_ranking.ts
@@ -32,8 +32,8 @@
  */
 export function rankZones(candidates: readonly Candidate[], usage: ZoneUsage): Map<string, number> {
     const freeCpu = new Map<string, number>();
-    for (const { zone, free } of candidates) {
-        freeCpu.set(zone, (freeCpu.get(zone) ?? 0) + free.cpu);
+    for (const { zone, freeCapacity } of candidates) {
+        freeCpu.set(zone, (freeCpu.get(zone) ?? 0) + freeCapacity.cpu);
     }
     const sign = usage.isSpread ? 1 : -1;
     const countTasks = (zone: string): number => usage.tasksByZone.get(zone) ?? 0;
--- a/dispatch/zone_ranking_test.ts
+++ b/dispatch/zone_ranking_test.ts
@@ -10,7 +10,7 @@
 function buildCandidate(zone: string, cpu: number): Candidate {
     return {
         id: `${zone}-${cpu}` as WorkerId,
-        free: { cpu, memoryMb: 1_000, gpu: 0 },
+        freeCapacity: { cpu, memoryMb: 1_000, gpu: 0 },
         rack: "r1",
         zone,
         tasksOfStep: 0,
