--- a/bench/dispatch_bench.ts
+++ b/bench/dispatch_bench.ts
@@ -12,7 +12,7 @@
  */
 
 import { parseArgs } from "node:util";
-import { buildQueue, buildSpec, FloorFixture, type OrderFault } from "../dispatch/_fixtures.ts";
+import { buildQueue, buildSpec, SimulatedCluster, type OrderFault } from "../dispatch/_fixtures.ts";
 import type { QueueConfig, QueueName } from "../configuration/mod.ts";
 import type { StepSpec, WorkerId } from "../job/mod.ts";
 import { createRandom } from "../tools/seeded_random.ts";
@@ -97,9 +97,9 @@
     return isSilent && number % 8 === 0 ? { type: "lost" } : { type: "none" };
 }
 
-const floor = new FloorFixture({
+const floor = new SimulatedCluster({
     workers,
-    isChecked: false,
+    hasInvariantChecks: false,
     fronts: Math.max(3, Math.round((FRONTS * workers) / FLOOR_WORKERS)),
     queues: traffic.map(({ queue }) => queue),
     computeTaskMs: (task) => durations.get(task.slice(0, 16)) ?? 1_000,
@@ -119,7 +119,7 @@
 
 function recordDone(): void {
     for (const id of submitted.keys()) {
-        if (!doneAt.has(id) && floor.getState(id) === "complete") {
+        if (!doneAt.has(id) && floor.getJobState(id) === "complete") {
             doneAt.set(id, floor.now);
         }
     }
--- a/bench/wide_jobs_bench.ts
+++ b/bench/wide_jobs_bench.ts
@@ -13,7 +13,7 @@
  */
 
 import { parseArgs } from "node:util";
-import { FullFloorDay, type Outcome } from "../dispatch/_full_floor.ts";
+import { WorkloadSimulation, type WorkloadSummary } from "../dispatch/_workload_simulation.ts";
 
 const { values } = parseArgs({
     options: {
@@ -30,7 +30,14 @@
     },
 });
 
-function formatRow({ name, jobs, width, inTime, served, medianMs }: Outcome): string {
+function formatRow({
+    name,
+    jobs,
+    meanWidth: width,
+    withinObjective: inTime,
+    served,
+    medianLatencyMs: medianMs,
+}: WorkloadSummary): string {
     const formatShare = (count: number): string => (count / Math.max(1, jobs)).toFixed(3);
     return (
         `${name.padEnd(28)}${String(jobs).padStart(5)} jobs of ${width.toFixed(1).padStart(5)} tasks` +
@@ -40,16 +47,20 @@
 
 for (const seed of values.seeds.split(",").map(Number)) {
     const troubles = {
-        crashingShare: Number(values.crashing),
+        crashingJobFraction: Number(values.crashing),
         crashesPerSecond: Number(values.crashes),
-        roomChangesPerSecond: Number(values.rooms),
+        capacityChangesPerSecond: Number(values.rooms),
     };
-    const day = new FullFloorDay({ workers: Number(values.workers), seed, troubles });
+    const day = new WorkloadSimulation({
+        workers: Number(values.workers),
+        seed,
+        faultRates: troubles,
+    });
     const startedAt = process.cpuUsage();
     day.run(Number(values.seconds), Number(values.load));
     const used = process.cpuUsage(startedAt);
     const cpuSeconds = ((used.user + used.system) / 1e6).toFixed(1);
     process.stdout.write(`seed ${seed}, ${cpuSeconds} s of processor\n`);
-    day.listOutcomes().forEach((outcome) => process.stdout.write(`${formatRow(outcome)}\n`));
-    process.stdout.write(`${JSON.stringify(day.describeTroubles())}\n`);
+    day.listSummaries().forEach((outcome) => process.stdout.write(`${formatRow(outcome)}\n`));
+    process.stdout.write(`${JSON.stringify(day.summarizeFaults())}\n`);
 }
--- a/dispatch/_fixtures.ts
+++ b/dispatch/_fixtures.ts
@@ -29,24 +29,24 @@
 import { VirtualTime } from "../standin/virtual_time.ts";
 import { buildQueue, POOL, QUEUE } from "./_builders.ts";
 import { Dispatcher } from "./dispatcher.ts";
-import { FloorAudit, type SeenCrash, type SeenRun } from "./_floor_audit.ts";
+import { InvariantChecker, type CrashRecord, type RunRecord } from "./_invariant_checker.ts";
 import type { AdviceCall, Effect, LaneId, PollAnswer, OrderAnswer } from "./types.ts";
 
 export * from "./_builders.ts";
 
-const COMMIT_MS = 12;
-const WAY_MS = 1;
-const LOOK_EVERY_MS = 50;
-const TICK_MS = 100;
+const COMMIT_DELAY_MS = 12;
+const NETWORK_DELAY_MS = 1;
+const LOOK_INTERVAL_MS = 50;
+const TICK_INTERVAL_MS = 100;
 const ORDER_TIMEOUT_MS = 400;
 /** A look that gets no answer is given up so long after its own wait, in ms. */
-const LOOK_EXTRA_MS = 500;
+const LOOK_TIMEOUT_MARGIN_MS = 500;
 const FENCES_PER_TERM = 1_000_000;
-const HEARTBEAT_MS = 1_500;
-const DEFAULT_RESTART_MS = 3_300;
+const HEARTBEAT_INTERVAL_MS = 1_500;
+const DEFAULT_RESTART_DELAY_MS = 3_300;
 
-/** Options of {@link FloorFixture}. */
-export interface FloorOptions {
+/** Options of {@link SimulatedCluster}. */
+export interface SimulatedClusterOptions {
     readonly workers: number;
     readonly seed?: number;
     readonly capacity?: Resources;
@@ -54,11 +54,11 @@
     /** How long each task runs, in ms; goes before `taskMs`. */
     readonly computeTaskMs?: (task: string, worker: WorkerId) => number;
     /** Promises are checked at each event; a benchmark of a large floor leaves that out. */
-    readonly isChecked?: boolean;
+    readonly hasInvariantChecks?: boolean;
     /** What differs from the usual worker, by its number from 1. */
-    readonly getRecord?: (number: number) => Partial<WorkerReport>;
+    readonly getWorkerOverrides?: (number: number) => Partial<WorkerReport>;
     /** How long the next commit takes, in ms. */
-    readonly computeCommitMs?: () => number;
+    readonly computeCommitDelayMs?: () => number;
     /** Fronts that call the advice service. */
     readonly fronts?: number;
     readonly clockDrift?: number;
@@ -69,9 +69,9 @@
     /** How long after its start a task ends its worker, in ms; `undefined` for one that does not. */
     readonly getCrashAfterMs?: (task: string, worker: WorkerId) => number | undefined;
     /** After a crash the next incarnation joins at the same address after this, in ms. */
-    readonly restartMs?: number;
+    readonly restartDelayMs?: number;
     /** What a task reports: its tail in ms if it serves. */
-    readonly getLoad?: (task: string) => number;
+    readonly getTailLatencyMs?: (task: string) => number;
     /** Which workers the advice service admits to a step. */
     readonly isAdmitted?: (step: string, worker: WorkerId) => boolean;
 }
@@ -89,38 +89,38 @@
 const NO_FAULT: OrderFault = { type: "none" };
 
 /** The floor. */
-export class FloorFixture {
-    readonly #options: FloorOptions;
-    readonly durable = new StateStore();
+export class SimulatedCluster {
+    readonly #options: SimulatedClusterOptions;
+    readonly committedLedger = new StateStore();
     readonly workers = new Map<WorkerId, TaskWorker>();
     /** Every pace order: task, percent. */
-    readonly paces: { task: string; percent: number; at: number }[] = [];
-    readonly #audit = new FloorAudit({ workers: this.workers, getNow: () => this.now });
+    readonly paceOrders: { task: string; percent: number; atMs: number }[] = [];
+    readonly #invariants = new InvariantChecker({ workers: this.workers, getNow: () => this.now });
     readonly #addresses = new Map<WorkerId, string>();
-    readonly #muted = new Set<WorkerId>();
-    #isLed = true;
-    #incarnations = 0;
+    readonly #unheardWorkers = new Set<WorkerId>();
+    #hasLeader = true;
+    #incarnationCount = 0;
     readonly #records = new Map<WorkerId, WorkerReport>();
-    readonly #leavesAt = new Map<WorkerId, number>();
-    readonly #looking = new Set<WorkerId>();
+    readonly #shutdownTimesMs = new Map<WorkerId, number>();
+    readonly #watchedWorkers = new Set<WorkerId>();
     readonly #time = new VirtualTime();
-    #heartbeat = 0;
+    #heartbeatSequence = 0;
     #term = 1;
     #epoch = 0;
     dispatcher: Dispatcher;
 
     /**
-     * @param options Size, faults, behaviour of tasks; see {@link FloorOptions}.
+     * @param options Size, faults, behaviour of tasks; see {@link SimulatedClusterOptions}.
      */
-    constructor(options: FloorOptions) {
+    constructor(options: SimulatedClusterOptions) {
         this.#options = options;
-        this.durable.apply({ at: 0, facts: [this.#buildConfiguration()] });
+        this.committedLedger.apply({ at: 0, facts: [this.#buildConfiguration()] });
         this.dispatcher = this.#createDispatcher();
         for (let i = 0; i < options.workers; i++) {
             this.addWorker(`w${i + 1}` as WorkerId, `10.0.0.${i + 1}:80`);
         }
-        this.#addEvent(0, () => this.#tick());
-        this.#addEvent(0, () => this.#sendHeartbeats());
+        this.#scheduleEvent(0, () => this.#tick());
+        this.#scheduleEvent(0, () => this.#sendHeartbeats());
         this.dispatcher.setLanes(this.#listLanes());
     }
 
@@ -141,7 +141,7 @@
             labels: ["a", "r1"],
             instance: "",
             isDraining: false,
-            ...this.#options.getRecord?.(Number(id.slice(1))),
+            ...this.#options.getWorkerOverrides?.(Number(id.slice(1))),
         };
         this.#addIncarnation(record);
     }
@@ -150,7 +150,7 @@
         const { id, address, capacity } = record;
         this.#records.set(id, record);
         this.#addresses.set(id, address);
-        this.#audit.recordRoom(id, capacity);
+        this.#invariants.recordCapacity(id, capacity);
         this.workers.set(id, this.#createWorker(id, capacity));
     }
 
@@ -159,7 +159,7 @@
         const record = this.#records.get(id);
         if (record !== undefined) {
             this.#records.set(id, { ...record, capacity });
-            this.#audit.recordRoom(id, capacity);
+            this.#invariants.recordCapacity(id, capacity);
         }
     }
 
@@ -169,11 +169,11 @@
         if (record === undefined || !this.workers.has(id)) {
             return;
         }
-        this.#audit.recordCrash(id);
+        this.#invariants.recordCrash(id);
         this.killWorker(id);
-        this.#addEvent(this.#options.restartMs ?? DEFAULT_RESTART_MS, () => {
-            this.#incarnations += 1;
-            const next = `${id.split("#")[0]}#${this.#incarnations}` as WorkerId;
+        this.#scheduleEvent(this.#options.restartDelayMs ?? DEFAULT_RESTART_DELAY_MS, () => {
+            this.#incarnationCount += 1;
+            const next = `${id.split("#")[0]}#${this.#incarnationCount}` as WorkerId;
             this.#addIncarnation({ ...record, id: next, isDraining: false });
             this.#sendHeartbeats(false);
         });
@@ -181,22 +181,22 @@
 
     /** Broken promises, in words. */
     get violations(): readonly string[] {
-        return this.#audit.violations;
+        return this.#invariants.violations;
     }
 
     /** Every run that began. */
-    get runs(): readonly SeenRun[] {
-        return this.#audit.runs;
+    get runs(): readonly RunRecord[] {
+        return this.#invariants.runs;
     }
 
     /** Every crash of a worker. */
-    get crashes(): readonly SeenCrash[] {
-        return this.#audit.crashes;
+    get crashes(): readonly CrashRecord[] {
+        return this.#invariants.crashes;
     }
 
     /** How often a task was started after a number of workers had crashed under it. */
     countStartsAfterCrashes(task: string, crashes: number): number {
-        return this.#audit.countStartsAfterCrashes(task, crashes);
+        return this.#invariants.countStartsAfterCrashes(task, crashes);
     }
 
     /** Ends a worker: its runs end with it, and it answers no more. */
@@ -216,7 +216,7 @@
             this.#records.set(id, { ...record, isDraining: true });
         }
         if (leavesInMs !== undefined) {
-            this.#leavesAt.set(id, this.now + leavesInMs);
+            this.#shutdownTimesMs.set(id, this.now + leavesInMs);
             this.#sendHeartbeats(false);
         }
     }
@@ -233,11 +233,11 @@
         this.#flush();
     }
 
-    /** Ends the leader; nobody leads until {@link FloorFixture.replaceLeader}. */
+    /** Ends the leader; nobody leads until {@link SimulatedCluster.replaceLeader}. */
     stopLeader(): void {
         this.#epoch += 1;
-        this.#looking.clear();
-        this.#isLed = false;
+        this.#watchedWorkers.clear();
+        this.#hasLeader = false;
     }
 
     /**
@@ -245,13 +245,15 @@
      *
      * @param options Whether all workers' heartbeats reach the next one at once.
      */
-    replaceLeader({ isHeardAtOnce = true }: { readonly isHeardAtOnce?: boolean } = {}): void {
+    replaceLeader({
+        hasImmediateHeartbeats = true,
+    }: { readonly hasImmediateHeartbeats?: boolean } = {}): void {
         this.stopLeader();
         this.#term += 1;
-        this.#isLed = true;
+        this.#hasLeader = true;
         this.dispatcher = this.#createDispatcher();
         this.dispatcher.setLanes(this.#listLanes());
-        if (isHeardAtOnce) {
+        if (hasImmediateHeartbeats) {
             this.#sendHeartbeats(false);
         }
         this.#flush();
@@ -259,14 +261,14 @@
 
     /** Has a worker's heartbeats get lost; orders still reach it. */
     dropHeartbeats(id: WorkerId): void {
-        this.#muted.add(id);
+        this.#unheardWorkers.add(id);
     }
 
     /** Lets time pass. */
     runFor(ms: number): void {
         this.#time.runFor(ms, () => {
-            if (this.#options.isChecked ?? true) {
-                this.#audit.checkWorkers();
+            if (this.#options.hasInvariantChecks ?? true) {
+                this.#invariants.checkWorkerCapacity();
             }
         });
     }
@@ -277,8 +279,8 @@
     }
 
     /** The state of a job as a caller sees it. */
-    getState(id: string): string {
-        return this.durable.jobs.get(id as JobId)?.state ?? "unknown";
+    getJobState(id: string): string {
+        return this.committedLedger.jobs.get(id as JobId)?.state ?? "unknown";
     }
 
     #listLanes(): LaneId[] {
@@ -288,7 +290,7 @@
 
     #createDispatcher(): Dispatcher {
         return new Dispatcher({
-            ledger: this.durable.copy(),
+            ledger: this.committedLedger.copy(),
             clock: { getNow: () => this.now, getWallTime: () => this.now },
             firstFence: this.#term * FENCES_PER_TERM,
         });
@@ -315,57 +317,57 @@
             clockDrift: this.#options.clockDrift,
             computeTaskMs: (task) =>
                 this.#options.computeTaskMs?.(task, id) ?? this.#options.taskMs ?? 300,
-            getRoom: (task) => this.#findRoom(task),
-            getLoad: this.#options.getLoad,
+            getRoom: (task) => this.#findTaskResources(task),
+            getLoad: this.#options.getTailLatencyMs,
             getEnd: (task) => this.#options.getEnd?.(task, id) ?? "done",
             onRun: (run) => this.#handleRun(id, run),
-            onAcknowledge: (end) => this.#audit.recordAcknowledged(end),
+            onAcknowledge: (end) => this.#invariants.recordAcknowledgedEnd(end),
         });
     }
 
-    #findRoom(task: string): Resources {
+    #findTaskResources(task: string): Resources {
         const [job = "", , step = "0"] = task.split(".");
-        const spec = this.durable.jobs.get(job as JobId)?.spec?.steps[Number(step)];
+        const spec = this.committedLedger.jobs.get(job as JobId)?.spec?.steps[Number(step)];
         return spec?.needs ?? { cpu: 1_000, memoryMb: 1_000, gpu: 0 };
     }
 
     #handleRun(worker: WorkerId, run: TaskRun): void {
-        this.#audit.recordRun(worker, run);
+        this.#invariants.recordRun(worker, run);
         const crashAfterMs = this.#options.getCrashAfterMs?.(run.task, worker);
         if (crashAfterMs !== undefined) {
-            this.#addEvent(crashAfterMs, () => this.crashWorker(worker));
+            this.#scheduleEvent(crashAfterMs, () => this.crashWorker(worker));
         }
     }
 
-    #addEvent(delay: number, run: () => void): void {
-        this.#time.schedule(delay, run);
+    #scheduleEvent(delayMs: number, run: () => void): void {
+        this.#time.schedule(delayMs, run);
     }
 
     #tick(): void {
-        if (this.#isLed) {
+        if (this.#hasLeader) {
             this.dispatcher.tick();
             this.#flush();
         }
-        this.#addEvent(TICK_MS, () => this.#tick());
+        this.#scheduleEvent(TICK_INTERVAL_MS, () => this.#tick());
     }
 
     #sendHeartbeats(isRepeated = true): void {
-        this.#heartbeat += 1;
+        this.#heartbeatSequence += 1;
         for (const [id, record] of this.#records) {
-            if (!this.#isLed || this.#muted.has(id)) {
+            if (!this.#hasLeader || this.#unheardWorkers.has(id)) {
                 continue;
             }
-            const leavesAt = this.#leavesAt.get(id);
+            const shutdownAtMs = this.#shutdownTimesMs.get(id);
             this.dispatcher.handleHeartbeat({
                 record,
-                sequence: this.#heartbeat,
+                sequence: this.#heartbeatSequence,
                 clockMs: this.workers.get(id)?.clockMs,
-                leavesInMs: leavesAt === undefined ? undefined : leavesAt - this.now,
+                leavesInMs: shutdownAtMs === undefined ? undefined : shutdownAtMs - this.now,
             });
         }
         this.#flush();
         if (isRepeated) {
-            this.#addEvent(HEARTBEAT_MS, () => this.#sendHeartbeats());
+            this.#scheduleEvent(HEARTBEAT_INTERVAL_MS, () => this.#sendHeartbeats());
         }
     }
 
@@ -377,12 +379,12 @@
         }
         const epoch = this.#epoch;
         const at = this.now;
-        const commitMs = this.#options.computeCommitMs?.() ?? COMMIT_MS;
-        this.#addEvent(facts.length === 0 ? 0 : commitMs, () => {
+        const commitDelayMs = this.#options.computeCommitDelayMs?.() ?? COMMIT_DELAY_MS;
+        this.#scheduleEvent(facts.length === 0 ? 0 : commitDelayMs, () => {
             if (epoch !== this.#epoch) {
                 return;
             }
-            this.durable.apply({ at, facts });
+            this.committedLedger.apply({ at, facts });
             effects.forEach((effect) => this.#runEffect(effect));
             this.dispatcher.placeWaiting();
             this.#flush();
@@ -419,7 +421,11 @@
             case "pace": {
                 const order = this.dispatcher.preparePace(effect.member);
                 if (order !== undefined) {
-                    this.paces.push({ task: order.task, percent: order.percent, at: this.now });
+                    this.paceOrders.push({
+                        task: order.task,
+                        percent: order.percent,
+                        atMs: this.now,
+                    });
                 }
                 return;
             }
@@ -439,25 +445,25 @@
     }
 
     #startWatch(id: WorkerId): void {
-        if (!this.#looking.has(id)) {
-            this.#looking.add(id);
+        if (!this.#watchedWorkers.has(id)) {
+            this.#watchedWorkers.add(id);
             this.#watch(id, this.#epoch);
         }
     }
 
     #watch(id: WorkerId, epoch: number): void {
-        const isOver = epoch !== this.#epoch;
-        const hasLook =
-            !isOver &&
+        const isStale = epoch !== this.#epoch;
+        const hasSentLook =
+            !isStale &&
             this.#sendLook(id, true, () =>
-                this.#addEvent(LOOK_EVERY_MS, () => this.#watch(id, epoch)),
+                this.#scheduleEvent(LOOK_INTERVAL_MS, () => this.#watch(id, epoch)),
             );
-        if (!hasLook && !isOver) {
-            this.#looking.delete(id);
+        if (!hasSentLook && !isStale) {
+            this.#watchedWorkers.delete(id);
         }
     }
 
-    #sendLook(id: WorkerId, mayWait: boolean, then: () => void): boolean {
+    #sendLook(id: WorkerId, mayWait: boolean, onAnswer: () => void): boolean {
         const order = this.dispatcher.preparePoll(id, mayWait);
         if (order === undefined) {
             return false;
@@ -469,9 +475,9 @@
             (worker) => worker.look(order),
             (answer) => {
                 this.dispatcher.handlePollAnswer(order, sentAt, answer);
-                then();
+                onAnswer();
             },
-            order.waitMs + LOOK_EXTRA_MS,
+            order.waitMs + LOOK_TIMEOUT_MARGIN_MS,
         );
         return true;
     }
@@ -479,43 +485,43 @@
     #send<A extends OrderAnswer | PollAnswer>(
         kind: "start" | "stop" | "look",
         id: WorkerId,
-        carryOut: (worker: TaskWorker) => A,
-        handle: (answer: A) => void,
+        execute: (worker: TaskWorker) => A,
+        handleAnswer: (answer: A) => void,
         timeoutMs = ORDER_TIMEOUT_MS,
     ): void {
         const fault = this.#options.getFault?.(kind, id) ?? NO_FAULT;
         const epoch = this.#epoch;
-        const reply = (delay: number, answer: A): void =>
-            this.#addEvent(delay, () => {
+        const reply = (delayMs: number, answer: A): void =>
+            this.#scheduleEvent(delayMs, () => {
                 if (epoch === this.#epoch) {
-                    handle(answer);
+                    handleAnswer(answer);
                     this.#flush();
                 }
             });
         const worker = this.workers.get(id) ?? this.#findSuccessor(id);
-        const silence = { type: "unanswered", cause: "timeout" } as A;
+        const noAnswer = { type: "unanswered", cause: "timeout" } as A;
         if (fault.type === "refused") {
-            reply(WAY_MS, { type: "undelivered", cause: "refused" } as A);
+            reply(NETWORK_DELAY_MS, { type: "undelivered", cause: "refused" } as A);
             return;
         }
         if (fault.type === "lost" || worker === undefined) {
-            reply(timeoutMs, silence);
+            reply(timeoutMs, noAnswer);
             return;
         }
         if (fault.type === "late") {
-            reply(timeoutMs, silence);
-            this.#addEvent(fault.afterMs, () => {
+            reply(timeoutMs, noAnswer);
+            this.#scheduleEvent(fault.afterMs, () => {
                 if (!worker.isDead) {
-                    carryOut(worker);
+                    execute(worker);
                 }
             });
             return;
         }
-        this.#addEvent(WAY_MS, () => {
+        this.#scheduleEvent(NETWORK_DELAY_MS, () => {
             if (worker.isDead) {
-                reply(timeoutMs, silence);
+                reply(timeoutMs, noAnswer);
             } else {
-                reply(WAY_MS, carryOut(worker));
+                reply(NETWORK_DELAY_MS, execute(worker));
             }
         });
     }
@@ -528,9 +534,9 @@
     }
 
     #answerAdvice(call: AdviceCall): void {
-        const tookMs = call.policy.decideMs + call.policy.perWorkerMs * call.workers.length;
+        const decisionMs = call.policy.decideMs + call.policy.perWorkerMs * call.workers.length;
         const epoch = this.#epoch;
-        this.#addEvent(tookMs, () => {
+        this.#scheduleEvent(decisionMs, () => {
             if (epoch !== this.#epoch) {
                 return;
             }
--- a/dispatch/_floor_audit.ts
+++ b/dispatch/_invariant_checker.ts
@@ -4,7 +4,7 @@
  *
  * @example
  * ```ts
- * import { FloorAudit } from "./_floor_audit.ts";
+ * import { FloorAudit } from "./_invariant_checker.ts";
  * const audit = new FloorAudit({ workers, getNow: () => time.now });
  * audit.recordRun(worker, run);
  * audit.violations; // broken promises, in words
@@ -18,80 +18,83 @@
 import type { EndReport } from "./types.ts";
 
 /** A smaller room binds once it has been told for so long, in ms: three seconds and a heartbeat. */
-const SHRINK_GRACE_MS = 4_500;
+const CAPACITY_REDUCTION_GRACE_MS = 4_500;
 
-/** Options of {@link FloorAudit}. */
-export interface FloorAuditOptions {
+/** Options of {@link InvariantChecker}. */
+export interface InvariantCheckerOptions {
     /** The workers that are up. */
     readonly workers: ReadonlyMap<WorkerId, TaskWorker>;
     readonly getNow: () => number;
 }
 
 /** One run that began. */
-export interface SeenRun {
+export interface RunRecord {
     readonly task: string;
     readonly attempt: number;
     readonly worker: WorkerId;
-    readonly at: number;
+    readonly startedAtMs: number;
 }
 
 /** One crash of a worker. */
-export interface SeenCrash {
+export interface CrashRecord {
     readonly worker: WorkerId;
     /** What ran there when it ended. */
     readonly tasks: readonly string[];
-    readonly at: number;
+    readonly crashedAtMs: number;
 }
 
 /** The checks of one floor. */
-export class FloorAudit {
-    readonly #options: FloorAuditOptions;
+export class InvariantChecker {
+    readonly #options: InvariantCheckerOptions;
     /** Broken promises, in words. */
     readonly violations: string[] = [];
-    readonly runs: SeenRun[] = [];
-    readonly crashes: SeenCrash[] = [];
-    readonly #acknowledgedDone = new Set<string>();
-    readonly #rooms = new Map<WorkerId, { readonly since: number; readonly room: Resources }[]>();
+    readonly runs: RunRecord[] = [];
+    readonly crashes: CrashRecord[] = [];
+    readonly #completedTasks = new Set<string>();
+    readonly #capacityHistory = new Map<
+        WorkerId,
+        { readonly sinceMs: number; readonly capacity: Resources }[]
+    >();
 
     /**
      * @param options The workers, the clock.
      */
-    constructor(options: FloorAuditOptions) {
+    constructor(options: InvariantCheckerOptions) {
         this.#options = options;
     }
 
     /** Notes the room that a worker has from now on. */
-    recordRoom(id: WorkerId, room: Resources): void {
-        const rooms = this.#rooms.get(id) ?? [];
-        rooms.push({ since: this.#options.getNow(), room });
-        this.#rooms.set(id, rooms);
+    recordCapacity(id: WorkerId, capacity: Resources): void {
+        const history = this.#capacityHistory.get(id) ?? [];
+        history.push({ sinceMs: this.#options.getNow(), capacity });
+        this.#capacityHistory.set(id, history);
     }
 
     /** Notes a run that has just begun. */
     recordRun(worker: WorkerId, run: TaskRun): void {
-        const at = this.#options.getNow();
+        const nowMs = this.#options.getNow();
         for (const [other, state] of this.#options.workers) {
             if (other !== worker && state.runs.some((r) => r.task === run.task)) {
-                this.violations.push(`${run.task} runs on ${other} and ${worker} at ${at}`);
+                this.violations.push(`${run.task} runs on ${other} and ${worker} at ${nowMs}`);
             }
         }
-        if (this.#acknowledgedDone.has(run.task)) {
-            this.violations.push(`${run.task} runs again at ${at} after it was done`);
+        if (this.#completedTasks.has(run.task)) {
+            this.violations.push(`${run.task} runs again at ${nowMs} after it was done`);
         }
-        this.runs.push({ task: run.task, attempt: run.attempt, worker, at });
-        this.#checkStart(worker);
+        this.runs.push({ task: run.task, attempt: run.attempt, worker, startedAtMs: nowMs });
+        this.#checkStartCapacity(worker);
     }
 
     /** Notes the crash of a worker that is still up. */
     recordCrash(worker: WorkerId): void {
         const tasks = this.#options.workers.get(worker)?.runs.map((run) => run.task) ?? [];
-        this.crashes.push({ worker, tasks, at: this.#options.getNow() });
+        this.crashes.push({ worker, tasks, crashedAtMs: this.#options.getNow() });
     }
 
     /** Notes an end that a worker may forget. */
-    recordAcknowledged(end: EndReport): void {
+    recordAcknowledgedEnd(end: EndReport): void {
         if (end.how === "done") {
-            this.#acknowledgedDone.add(end.task);
+            this.#completedTasks.add(end.task);
         }
     }
 
@@ -100,36 +103,38 @@
         const crash = this.crashes.filter(({ tasks }) => tasks.includes(task))[crashes - 1];
         return crash === undefined
             ? 0
-            : this.runs.filter((run) => run.task === task && run.at > crash.at).length;
+            : this.runs.filter((run) => run.task === task && run.startedAtMs > crash.crashedAtMs)
+                  .length;
     }
 
     /** Holds every worker against the rooms that it ever had. */
-    checkWorkers(): void {
+    checkWorkerCapacity(): void {
         for (const [id, worker] of this.#options.workers) {
             worker.advance();
-            const rooms = this.#rooms.get(id) ?? [];
-            if (rooms.every(({ room }) => isOver(worker.used, room))) {
+            const history = this.#capacityHistory.get(id) ?? [];
+            if (history.every(({ capacity }) => isOverCapacity(worker.used, capacity))) {
                 this.violations.push(`${id} is over its capacity at ${this.#options.getNow()}`);
             }
         }
     }
 
     /** A start must fit the room that the worker has, or had within the time that a change takes to be known. */
-    #checkStart(id: WorkerId): void {
-        const now = this.#options.getNow();
-        const rooms = this.#rooms.get(id) ?? [];
-        const bound = rooms.filter(
-            (_room, i) => (rooms[i + 1]?.since ?? now) >= now - SHRINK_GRACE_MS,
+    #checkStartCapacity(id: WorkerId): void {
+        const nowMs = this.#options.getNow();
+        const history = this.#capacityHistory.get(id) ?? [];
+        const effective = history.filter(
+            (_capacity, i) =>
+                (history[i + 1]?.sinceMs ?? nowMs) >= nowMs - CAPACITY_REDUCTION_GRACE_MS,
         );
-        const cpu = Math.max(...bound.map(({ room }) => room.cpu));
-        const memoryMb = Math.max(...bound.map(({ room }) => room.memoryMb));
+        const cpu = Math.max(...effective.map(({ capacity }) => capacity.cpu));
+        const memoryMb = Math.max(...effective.map(({ capacity }) => capacity.memoryMb));
         const worker = this.#options.workers.get(id);
-        if (worker !== undefined && isOver(worker.used, { cpu, memoryMb, gpu: 0 })) {
-            this.violations.push(`a start brings ${id} over its room at ${now}`);
+        if (worker !== undefined && isOverCapacity(worker.used, { cpu, memoryMb, gpu: 0 })) {
+            this.violations.push(`a start brings ${id} over its room at ${nowMs}`);
         }
     }
 }
 
-function isOver(used: Resources, room: Resources): boolean {
-    return used.cpu > room.cpu || used.memoryMb > room.memoryMb;
+function isOverCapacity(used: Resources, capacity: Resources): boolean {
+    return used.cpu > capacity.cpu || used.memoryMb > capacity.memoryMb;
 }
--- a/dispatch/admission_test.ts
+++ b/dispatch/admission_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { buildSpec, buildWorkerRecord, FloorFixture } from "./_fixtures.ts";
+import { buildSpec, buildWorkerRecord, SimulatedCluster } from "./_fixtures.ts";
 import { checkFeasible } from "./admission.ts";
 
 const WORKERS = [buildWorkerRecord(), buildWorkerRecord()];
@@ -23,7 +23,7 @@
 });
 
 test("many infeasible jobs do not block feasible ones", (t) => {
-    const cluster = new FloorFixture({ workers: 4 });
+    const cluster = new SimulatedCluster({ workers: 4 });
     cluster.runFor(100);
     const needs = { cpu: 64_000, memoryMb: 1_000, gpu: 0 };
     for (let i = 0; i < 200; i++) {
@@ -31,6 +31,6 @@
     }
     cluster.submit("00000000000000a1", buildSpec({ count: 2 }));
     cluster.runFor(2_000);
-    t.is(cluster.getState("00000000000000a1"), "complete");
-    t.is(cluster.getState("0000000000010000"), "unknown");
+    t.is(cluster.getJobState("00000000000000a1"), "complete");
+    t.is(cluster.getJobState("0000000000010000"), "unknown");
 });
--- a/dispatch/advice_plan_test.ts
+++ b/dispatch/advice_plan_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import type { QueueName } from "../configuration/mod.ts";
 import type { WorkerId } from "../job/mod.ts";
-import { buildQueue, buildSpec, FloorFixture } from "./_fixtures.ts";
+import { buildQueue, buildSpec, SimulatedCluster } from "./_fixtures.ts";
 import { AdmissionRates, planAdvice, type AdviceCandidate } from "./advice_plan.ts";
 
 const POLICY = { decideMs: 507, perWorkerMs: 7.28, validMs: 2_500 };
@@ -68,16 +68,16 @@
     // A call covers 100 workers and takes 1.2 s, and tickets expire after 2.5 s: sequential calls
     // would let the first tickets expire before the last arrive.
     const queue = buildQueue({ advice: POLICY });
-    const cluster = new FloorFixture({
+    const cluster = new SimulatedCluster({
         workers: 300,
         fronts: 20,
         queues: [queue],
         taskMs: 500,
-        isChecked: false,
+        hasInvariantChecks: false,
         isAdmitted: (_step, worker) => Number(worker.slice(1)) % 3 === 0,
     });
     const needs = { cpu: 9_000, memoryMb: 1_000, gpu: 0 };
     cluster.submit("00000000000000a1", buildSpec({ count: 85, isGang: true, needs }));
     cluster.runFor(3_500);
-    t.is(cluster.getState("00000000000000a1"), "complete");
+    t.is(cluster.getJobState("00000000000000a1"), "complete");
 });
--- a/dispatch/deployments_test.ts
+++ b/dispatch/deployments_test.ts
@@ -1,63 +1,65 @@
 import test from "ava";
 import type { WorkerId } from "../job/mod.ts";
-import { buildSpec, FloorFixture, QUEUE } from "./_fixtures.ts";
+import { buildSpec, SimulatedCluster, QUEUE } from "./_fixtures.ts";
 
 /** Deployments of other kinds than those whose days are played: what they ask of placing alone. */
 
 const JOB = "00000000000000a1";
 const OTHER_JOB = "00000000000000b2";
 
-function listWorkers(floor: FloorFixture, job = JOB): WorkerId[] {
-    return floor.runs.filter((run) => run.task.startsWith(job)).map((run) => run.worker);
+function listWorkers(cluster: SimulatedCluster, job = JOB): WorkerId[] {
+    return cluster.runs.filter((run) => run.task.startsWith(job)).map((run) => run.worker);
 }
 
 test("tasks with accelerators go where some are free, one each", (t) => {
     // Two of four workers have accelerators. Counted by processors alone all would look alike.
-    const floor = new FloorFixture({
+    const cluster = new SimulatedCluster({
         workers: 4,
         taskMs: 500,
-        getRecord: (n) => ({ capacity: { cpu: 16_000, memoryMb: 32_000, gpu: n > 2 ? 2 : 0 } }),
+        getWorkerOverrides: (n) => ({
+            capacity: { cpu: 16_000, memoryMb: 32_000, gpu: n > 2 ? 2 : 0 },
+        }),
     });
-    floor.submit(JOB, buildSpec({ count: 6, needs: { cpu: 100, memoryMb: 100, gpu: 1 } }));
-    floor.runFor(300);
-    t.deepEqual([...listWorkers(floor)].sort(), ["w3", "w3", "w4", "w4"]);
-    floor.runFor(2_000);
-    t.is(floor.getState(JOB), "complete");
+    cluster.submit(JOB, buildSpec({ count: 6, needs: { cpu: 100, memoryMb: 100, gpu: 1 } }));
+    cluster.runFor(300);
+    t.deepEqual([...listWorkers(cluster)].sort(), ["w3", "w3", "w4", "w4"]);
+    cluster.runFor(2_000);
+    t.is(cluster.getJobState(JOB), "complete");
 });
 
 test("a step that needs a label waits for the workers that carry it", (t) => {
-    const floor = new FloorFixture({
+    const cluster = new SimulatedCluster({
         workers: 3,
-        getRecord: (n) => ({ labels: [n === 2 ? "special" : "a", "r1"] }),
+        getWorkerOverrides: (n) => ({ labels: [n === 2 ? "special" : "a", "r1"] }),
     });
-    floor.submit(JOB, buildSpec({ count: 4, requiredLabel: "special" }));
-    floor.runFor(2_000);
-    t.deepEqual([...new Set(listWorkers(floor))], ["w2" as WorkerId]);
-    t.is(floor.getState(JOB), "complete");
+    cluster.submit(JOB, buildSpec({ count: 4, requiredLabel: "special" }));
+    cluster.runFor(2_000);
+    t.deepEqual([...new Set(listWorkers(cluster))], ["w2" as WorkerId]);
+    t.is(cluster.getJobState(JOB), "complete");
 });
 
 test("a gang that works fast within a rack waits for no other rack while one has room", (t) => {
-    const floor = new FloorFixture({
+    const cluster = new SimulatedCluster({
         workers: 4,
-        getRecord: (n) => ({ labels: ["a", n % 2 === 0 ? "even" : "odd"] }),
+        getWorkerOverrides: (n) => ({ labels: ["a", n % 2 === 0 ? "even" : "odd"] }),
     });
     const needs = { cpu: 8_000, memoryMb: 1_000, gpu: 0 };
-    floor.submit(JOB, buildSpec({ count: 4, isGang: true, isRackLocal: true, needs }));
-    floor.runFor(300);
-    const racks = new Set(listWorkers(floor).map((id) => Number(id.slice(1)) % 2));
+    cluster.submit(JOB, buildSpec({ count: 4, isGang: true, isRackLocal: true, needs }));
+    cluster.runFor(300);
+    const racks = new Set(listWorkers(cluster).map((id) => Number(id.slice(1)) % 2));
     t.is(racks.size, 1);
 });
 
 test("no more of a step run on one worker than it allows, also over attempts", (t) => {
-    const floor = new FloorFixture({
+    const cluster = new SimulatedCluster({
         workers: 2,
         taskMs: 400,
         getEnd: (task) => (task.endsWith(".0") ? "failed" : "done"),
     });
-    floor.submit(JOB, buildSpec({ count: 4, maxPerWorker: 1 }));
+    cluster.submit(JOB, buildSpec({ count: 4, maxPerWorker: 1 }));
     for (let i = 0; i < 40; i++) {
-        floor.runFor(50);
-        for (const worker of floor.workers.values()) {
+        cluster.runFor(50);
+        for (const worker of cluster.workers.values()) {
             t.true(worker.runs.length <= 1);
         }
     }
@@ -67,29 +69,29 @@
     // The worker is smaller than it told, and refuses what does not fit. Each refusal counted as a
     // failure would fail the job; tried again at once for ever it would fill the worker's queue.
     let refusals = 0;
-    const floor = new FloorFixture({ workers: 2, taskMs: 300 });
-    const [first] = floor.workers.values();
-    const startOf = first?.start.bind(first);
-    if (first !== undefined && startOf !== undefined) {
+    const cluster = new SimulatedCluster({ workers: 2, taskMs: 300 });
+    const [first] = cluster.workers.values();
+    const originalStart = first?.start.bind(first);
+    if (first !== undefined && originalStart !== undefined) {
         first.start = (order) => {
-            if (floor.now < 2_000) {
+            if (cluster.now < 2_000) {
                 refusals += 1;
                 return { type: "refused", reason: "no_room", clockMs: first.clockMs };
             }
-            return startOf(order);
+            return originalStart(order);
         };
     }
-    floor.submit(JOB, buildSpec({ count: 30, needs: { cpu: 4_000, memoryMb: 100, gpu: 0 } }));
-    floor.runFor(6_000);
-    t.is(floor.getState(JOB), "complete");
+    cluster.submit(JOB, buildSpec({ count: 30, needs: { cpu: 4_000, memoryMb: 100, gpu: 0 } }));
+    cluster.runFor(6_000);
+    t.is(cluster.getJobState(JOB), "complete");
     t.true(refusals < 200, `${refusals} refusals`);
 });
 
 // Guards against sending a start that no worker can read dozens of times a second for as long as its job is open.
 test("a start that workers refuse as unreadable is repeated seldom, and other jobs go on", (t) => {
     let refusals = 0;
-    const floor = new FloorFixture({ workers: 3, taskMs: 300 });
-    for (const worker of floor.workers.values()) {
+    const cluster = new SimulatedCluster({ workers: 3, taskMs: 300 });
+    for (const worker of cluster.workers.values()) {
         const start = worker.start.bind(worker);
         worker.start = (order) => {
             if (!order.task.startsWith(JOB)) {
@@ -99,38 +101,38 @@
             return { type: "refused", reason: "invalid", clockMs: worker.clockMs };
         };
     }
-    floor.submit(JOB, buildSpec({ count: 3 }));
-    floor.submit(OTHER_JOB, buildSpec({ count: 30 }));
-    floor.runFor(10_000);
-    t.is(floor.getState(OTHER_JOB), "complete");
+    cluster.submit(JOB, buildSpec({ count: 3 }));
+    cluster.submit(OTHER_JOB, buildSpec({ count: 30 }));
+    cluster.runFor(10_000);
+    t.is(cluster.getJobState(OTHER_JOB), "complete");
     t.true(refusals <= 30, `${refusals} refusals`);
 });
 
 test("occurrences that overlap run side by side, each once", (t) => {
-    const floor = new FloorFixture({ workers: 2, taskMs: 1_500 });
+    const cluster = new SimulatedCluster({ workers: 2, taskMs: 1_500 });
     const spec = buildSpec({ count: 2 });
-    floor.submit(JOB, { ...spec, repeats: 3, firstAtMs: 500, periodMs: 500 });
-    floor.runFor(4_000);
-    t.is(floor.getState(JOB), "complete");
-    t.deepEqual([...new Set(floor.runs.map((run) => run.task))].length, floor.runs.length);
-    t.is(floor.runs.length, 6);
+    cluster.submit(JOB, { ...spec, repeats: 3, firstAtMs: 500, periodMs: 500 });
+    cluster.runFor(4_000);
+    t.is(cluster.getJobState(JOB), "complete");
+    t.deepEqual([...new Set(cluster.runs.map((run) => run.task))].length, cluster.runs.length);
+    t.is(cluster.runs.length, 6);
 });
 
 test("a task that lasts is back within seconds of its worker's death, beside batch work", (t) => {
     // Callers of the lasting task see it away. Its worker dies; the floor is full of batch tasks, and
     // the lasting one has to get the next room that opens.
-    const floor = new FloorFixture({
+    const cluster = new SimulatedCluster({
         workers: 3,
         computeTaskMs: (task) => (task.startsWith(JOB) ? 1e9 : 700),
         capacity: { cpu: 2_000, memoryMb: 32_000, gpu: 0 },
     });
-    floor.submit(JOB, buildSpec({ count: 1, isPerpetual: true, maxAbsent: 1 }));
-    floor.runFor(100);
-    floor.submit(OTHER_JOB, buildSpec({ count: 60, estimateMs: 700 }), QUEUE);
-    floor.runFor(500);
-    const [home] = listWorkers(floor);
-    floor.killWorker(home as WorkerId);
-    floor.runFor(13_000);
-    t.is(listWorkers(floor).length, 2);
-    t.deepEqual(floor.violations, []);
+    cluster.submit(JOB, buildSpec({ count: 1, isPerpetual: true, maxAbsent: 1 }));
+    cluster.runFor(100);
+    cluster.submit(OTHER_JOB, buildSpec({ count: 60, estimateMs: 700 }), QUEUE);
+    cluster.runFor(500);
+    const [firstWorker] = listWorkers(cluster);
+    cluster.killWorker(firstWorker as WorkerId);
+    cluster.runFor(13_000);
+    t.is(listWorkers(cluster).length, 2);
+    t.deepEqual(cluster.violations, []);
 });
--- a/dispatch/heartbeat_conflict_test.ts
+++ b/dispatch/heartbeat_conflict_test.ts
@@ -6,7 +6,7 @@
     buildSpec,
     buildWorkerRecord,
     buildWorkerReport,
-    FloorFixture,
+    SimulatedCluster,
     POOL,
 } from "./_fixtures.ts";
 import { isConflictingHeartbeat } from "./heartbeat_conflict.ts";
@@ -85,7 +85,7 @@
                 { minLength: 1, maxLength: 6 },
             ),
             (damaged) => {
-                const floor = new FloorFixture({ workers: 1, taskMs: 300 });
+                const floor = new SimulatedCluster({ workers: 1, taskMs: 300 });
                 floor.runFor(300);
                 for (const { address, pool, cpu, sequence } of damaged) {
                     const capacity = { cpu, memoryMb: 32_000, gpu: 0 };
@@ -98,7 +98,7 @@
                 }
                 floor.submit("00000000000000a1", buildSpec({ count: 2 }));
                 floor.runFor(7_000);
-                t.is(floor.getState("00000000000000a1"), "complete");
+                t.is(floor.getJobState("00000000000000a1"), "complete");
                 t.deepEqual(floor.violations, []);
             },
         ),
--- a/dispatch/matching_test.ts
+++ b/dispatch/matching_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import type { WorkerId } from "../job/mod.ts";
-import { buildQueue, buildSpec, buildStep, FloorFixture, QUEUE } from "./_fixtures.ts";
+import { buildQueue, buildSpec, buildStep, SimulatedCluster, QUEUE } from "./_fixtures.ts";
 import { WorkerRegistry } from "./worker_registry.ts";
 
 /**
@@ -12,7 +12,7 @@
 const WAITING_JOB = "00000000000000b2";
 const WHOLE_WORKER = { cpu: 16_000, memoryMb: 1_000, gpu: 0 };
 
-function countStarts(cluster: FloorFixture, job: string): number {
+function countStarts(cluster: SimulatedCluster, job: string): number {
     return cluster.runs.filter((run) => run.task.startsWith(job)).length;
 }
 
@@ -48,7 +48,7 @@
 });
 
 test("a waiting task starts when the task that occupies its worker ends", (t) => {
-    const cluster = new FloorFixture({ workers: 2, taskMs: 600 });
+    const cluster = new SimulatedCluster({ workers: 2, taskMs: 600 });
     cluster.submit(OCCUPYING_JOB, buildSpec({ count: 2, needs: WHOLE_WORKER }));
     cluster.runFor(100);
     cluster.submit(WAITING_JOB, buildSpec({ count: 1, needs: WHOLE_WORKER }));
@@ -60,7 +60,7 @@
 
 test("a waiting task starts when the quarantine of the only free worker ends", (t) => {
     // No event occurs at that moment: only the clock makes the worker usable again.
-    const cluster = new FloorFixture({
+    const cluster = new SimulatedCluster({
         workers: 1,
         taskMs: 100,
         getEnd: (task) => (task.startsWith(WAITING_JOB) ? "done" : "failed"),
@@ -72,12 +72,12 @@
     cluster.runFor(100);
     t.is(countStarts(cluster, WAITING_JOB), 0);
     cluster.runFor(9_000);
-    t.is(cluster.getState(WAITING_JOB), "complete");
+    t.is(cluster.getJobState(WAITING_JOB), "complete");
 });
 
 test("a waiting task starts on a worker that joins and on one that responds again", (t) => {
     let isSilent = true;
-    const cluster = new FloorFixture({
+    const cluster = new SimulatedCluster({
         workers: 1,
         taskMs: 300,
         getFault: (_kind, worker) =>
@@ -89,16 +89,16 @@
     cluster.addWorker("w2" as WorkerId, "10.0.0.2:80");
     cluster.submit(OCCUPYING_JOB, buildSpec({ count: 1, needs: WHOLE_WORKER }));
     cluster.runFor(2_000);
-    t.is(cluster.getState(OCCUPYING_JOB), "complete");
+    t.is(cluster.getJobState(OCCUPYING_JOB), "complete");
     isSilent = false;
     cluster.runFor(4_000);
-    t.is(cluster.getState(WAITING_JOB), "complete");
+    t.is(cluster.getJobState(WAITING_JOB), "complete");
 });
 
 test("a waiting task renews its expired ticket and starts", (t) => {
     // Tickets expire after 500 ms; the only worker is busy for 2 s.
     const queue = buildQueue({ advice: { decideMs: 20, perWorkerMs: 0, validMs: 500 } });
-    const cluster = new FloorFixture({
+    const cluster = new SimulatedCluster({
         workers: 1,
         queues: [queue],
         computeTaskMs: (task) => (task.startsWith(OCCUPYING_JOB) ? 2_000 : 200),
@@ -107,18 +107,18 @@
     cluster.runFor(100);
     cluster.submit(WAITING_JOB, buildSpec({ count: 1, needs: WHOLE_WORKER }), QUEUE);
     cluster.runFor(3_000);
-    t.is(cluster.getState(WAITING_JOB), "complete");
+    t.is(cluster.getJobState(WAITING_JOB), "complete");
     t.deepEqual(cluster.violations, []);
 });
 
 test("a backlog of hundreds of jobs runs completely, in order of submission", (t) => {
-    const cluster = new FloorFixture({ workers: 4, taskMs: 50, isChecked: false });
+    const cluster = new SimulatedCluster({ workers: 4, taskMs: 50, hasInvariantChecks: false });
     const ids = Array.from({ length: 300 }, (_unused, i) => (i + 1).toString(16).padStart(16, "0"));
     ids.forEach((id) =>
         cluster.submit(id, { ...buildSpec(), steps: [buildStep({ needs: WHOLE_WORKER })] }),
     );
     cluster.runFor(30_000);
-    t.true(ids.every((id) => cluster.getState(id) === "complete"));
+    t.true(ids.every((id) => cluster.getJobState(id) === "complete"));
     t.deepEqual(
         cluster.runs.map((run) => run.task.slice(0, 16)),
         ids,
--- a/dispatch/overdue_tasks_test.ts
+++ b/dispatch/overdue_tasks_test.ts
@@ -1,12 +1,12 @@
 import test from "ava";
-import { buildSpec, FloorFixture, type OrderFault } from "./_fixtures.ts";
+import { buildSpec, SimulatedCluster, type OrderFault } from "./_fixtures.ts";
 
 const JOB = "00000000000000a1";
 
 test("detects a task's end soon after a long poll is lost", (t) => {
     // The lost poll alone would delay the first step's end by two seconds.
     const faults: OrderFault[] = [{ type: "lost" }];
-    const floor: FloorFixture = new FloorFixture({
+    const floor: SimulatedCluster = new SimulatedCluster({
         workers: 1,
         taskMs: 500,
         getFault: (kind): OrderFault => {
@@ -17,14 +17,14 @@
     floor.runFor(200);
     floor.submit(JOB, buildSpec({ count: 1, estimateMs: 500 }, { count: 1, after: [0] }));
     floor.runFor(2_600);
-    t.is(floor.getState(JOB), "complete");
+    t.is(floor.getJobState(JOB), "complete");
     t.deepEqual(floor.violations, []);
 });
 
 test("detects task ends soon after a partition heals", (t) => {
     // Polls during the partition are lost; the last of them times out only after it has healed.
     for (let healedAt = 4_000; healedAt <= 6_400; healedAt += 200) {
-        const floor: FloorFixture = new FloorFixture({
+        const floor: SimulatedCluster = new SimulatedCluster({
             workers: 1,
             taskMs: 1_500,
             getFault: (): OrderFault =>
@@ -33,7 +33,7 @@
         floor.runFor(300);
         floor.submit(JOB, buildSpec({ count: 2, estimateMs: 1_500 }));
         floor.runFor(healedAt + 700 - 300);
-        t.is(floor.getState(JOB), "complete", `partition healed at ${healedAt} ms`);
+        t.is(floor.getJobState(JOB), "complete", `partition healed at ${healedAt} ms`);
         t.deepEqual(floor.violations, []);
     }
 });
--- a/dispatch/ranking_test.ts
+++ b/dispatch/ranking_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { buildQueue, buildSpec, FloorFixture } from "./_fixtures.ts";
+import { buildQueue, buildSpec, SimulatedCluster } from "./_fixtures.ts";
 import { computeLatencyObjectiveMs, rankStep } from "./ranking.ts";
 
 const URGENT = buildQueue({ stretch: 1.5, targetLatencyMs: 250 });
@@ -28,7 +28,7 @@
     // During a 6 s outage a backlog of late jobs builds up. Guards against serving it first, which
     // would make new jobs late too.
     let isOutage = true;
-    const cluster = new FloorFixture({
+    const cluster = new SimulatedCluster({
         workers: 2,
         taskMs: 300,
         queues: [URGENT],
@@ -54,8 +54,8 @@
     cluster.runFor(20_000);
     const lateJobs = newJobs.filter((id) => {
         const run = cluster.runs.find((r) => r.task.startsWith(id));
-        return (run?.at ?? Number.POSITIVE_INFINITY) - (startedAt.get(id) ?? 0) > 700;
+        return (run?.startedAtMs ?? Number.POSITIVE_INFINITY) - (startedAt.get(id) ?? 0) > 700;
     });
     t.true(lateJobs.length < newJobs.length * 0.35, `${lateJobs.length} of ${newJobs.length} late`);
-    t.true([...startedAt.keys()].every((id) => cluster.getState(id) === "complete"));
+    t.true([...startedAt.keys()].every((id) => cluster.getJobState(id) === "complete"));
 });
--- a/dispatch/reservation_test.ts
+++ b/dispatch/reservation_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import type { QueueName } from "../configuration/mod.ts";
 import type { WorkerId } from "../job/mod.ts";
-import { buildQueue, buildSpec, FloorFixture } from "./_fixtures.ts";
+import { buildQueue, buildSpec, SimulatedCluster } from "./_fixtures.ts";
 import { selectReservedWorkers } from "./reservation.ts";
 
 const GANG_QUEUE = "composites" as QueueName;
@@ -24,7 +24,7 @@
 
 test("a wide gang starts within seconds on a cluster full of small tasks", (t) => {
     // Guards against starvation: small tasks arrive faster than they end and fill each gap.
-    const cluster = new FloorFixture({
+    const cluster = new SimulatedCluster({
         workers: 4,
         taskMs: 2_000,
         queues: [
@@ -54,17 +54,17 @@
         submitBatch();
     }
     const started = cluster.runs.find((run) => run.task.startsWith(gang));
-    t.true((started?.at ?? Number.POSITIVE_INFINITY) - submittedAt < 3_000);
-    t.is(cluster.getState(gang), "complete");
+    t.true((started?.startedAtMs ?? Number.POSITIVE_INFINITY) - submittedAt < 3_000);
+    t.is(cluster.getJobState(gang), "complete");
     cluster.runFor(120_000);
-    t.true([...cluster.durable.jobs.values()].every((job) => job.state === "complete"));
+    t.true([...cluster.committedLedger.jobs.values()].every((job) => job.state === "complete"));
     t.deepEqual(cluster.violations, []);
 });
 
 test("preempts tasks for a gang only if that frees all of its workers", (t) => {
     // One worker runs tasks with checkpoints, the other long tasks without. Preempting only the
     // first would leave it idle until the second is free.
-    const cluster = new FloorFixture({
+    const cluster = new SimulatedCluster({
         workers: 2,
         computeTaskMs: (task) => (task.startsWith("00000000000000b") ? 10_000 : 3_000),
         queues: [
@@ -89,8 +89,8 @@
         GANG_QUEUE,
     );
     cluster.runFor(4_000);
-    t.is(cluster.getState("00000000000000c1"), "complete");
+    t.is(cluster.getJobState("00000000000000c1"), "complete");
     cluster.runFor(20_000);
-    t.is(cluster.getState("00000000000000a1"), "complete");
+    t.is(cluster.getJobState("00000000000000a1"), "complete");
     t.deepEqual(cluster.violations, []);
 });
--- a/dispatch/zone_ranking_test.ts
+++ b/dispatch/zone_ranking_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import type { WorkerId } from "../job/mod.ts";
-import { buildSpec, FloorFixture } from "./_fixtures.ts";
+import { buildSpec, SimulatedCluster } from "./_fixtures.ts";
 import type { Candidate } from "./placement.ts";
 import { rankZones } from "./zone_ranking.ts";
 
@@ -20,21 +20,21 @@
     };
 }
 
-function startCluster(): FloorFixture {
-    const cluster = new FloorFixture({
+function startCluster(): SimulatedCluster {
+    const cluster = new SimulatedCluster({
         workers: 8,
         taskMs: 3_000,
-        getRecord: (number) => ({ zone: ZONES[number % ZONES.length] as string }),
+        getWorkerOverrides: (number) => ({ zone: ZONES[number % ZONES.length] as string }),
     });
     cluster.runFor(300);
     return cluster;
 }
 
 /** Lists the zones in which a job's tasks started, one entry per task. */
-function listZones(cluster: FloorFixture, job: string): string[] {
+function listZones(cluster: SimulatedCluster, job: string): string[] {
     return cluster.runs
         .filter((run) => run.task.startsWith(job))
-        .map((run) => cluster.durable.workers.get(run.worker)?.zone ?? "");
+        .map((run) => cluster.committedLedger.workers.get(run.worker)?.zone ?? "");
 }
 
 test("ranks zones by tasks of the step, then by free CPU", (t) => {
