--- a/dispatch/_builders.ts
+++ b/dispatch/_builders.ts
@@ -1,5 +1,5 @@
 /**
- * Builders of queues, steps, jobs and workers for tests: each gives a usual one, with what differs from it.
+ * Builders of queues, steps, jobs and workers for tests: default values with optional overrides.
  *
  * @example
  * ```ts
@@ -19,7 +19,7 @@
 /**
  * Builds a queue.
  *
- * @param overrides What differs from an urgent queue without advice.
+ * @param overrides Fields that differ from a queue of top priority without advice.
  * @returns The queue.
  */
 export function buildQueue(overrides: Partial<QueueConfig> = {}): QueueConfig {
@@ -41,7 +41,7 @@
 /**
  * Builds a step.
  *
- * @param overrides What differs from one small task.
+ * @param overrides Fields that differ from a step of one small task.
  * @returns The step.
  */
 export function buildStep(overrides: Partial<StepSpec> = {}): StepSpec {
@@ -67,10 +67,10 @@
 }
 
 /**
- * Builds a job of the given steps.
+ * Builds a job spec.
  *
- * @param steps What differs, per step.
- * @returns The job.
+ * @param steps Overrides of the default step, one entry per step.
+ * @returns The job spec.
  */
 export function buildSpec(...steps: readonly Partial<StepSpec>[]): JobSpec {
     return {
@@ -83,9 +83,9 @@
 }
 
 /**
- * Builds what a usual worker tells of itself.
+ * Builds the report that a worker sends with its heartbeats.
  *
- * @param overrides What differs from it.
+ * @param overrides Fields that differ from the default worker.
  * @returns The report.
  */
 export function buildWorkerReport(overrides: Partial<WorkerReport> = {}): WorkerReport {
@@ -103,9 +103,9 @@
 }
 
 /**
- * Builds what is on record of a usual worker.
+ * Builds the ledger's record of a worker.
  *
- * @param overrides What differs from it.
+ * @param overrides Report fields that differ from the default worker.
  * @returns The record.
  */
 export function buildWorkerRecord(overrides: Partial<WorkerReport> = {}): WorkerRecord {
@@ -114,10 +114,10 @@
 }
 
 /**
- * Builds the ids of some jobs.
+ * Builds distinct job ids.
  *
- * @param count How many.
- * @returns Ids that differ, the same each time.
+ * @param count Number of ids.
+ * @returns The ids, the same on each call.
  */
 export function buildJobIds(count: number): string[] {
     return Array.from(
--- a/dispatch/_fixtures.ts
+++ b/dispatch/_fixtures.ts
@@ -1,14 +1,14 @@
 /**
- * A floor of stand-in workers under one dispatcher, in virtual time: commits that take a while,
- * orders that are lost or carried out late, workers that die, leaders that are replaced. Every
- * run is checked against the promises while it goes on.
+ * A simulated cluster in virtual time: one dispatcher, stub workers, and injected faults such as
+ * slow commits, lost or delayed orders, worker crashes and leader changes. Safety invariants are
+ * checked throughout each run.
  *
  * @example
  * ```ts
- * import { FloorFixture } from "./_fixtures.ts";
- * const floor = new FloorFixture({ workers: 4, seed: 1 });
- * floor.submit("00000000000000a1", buildSpec({ count: 2 }));
- * floor.runFor(3_000);
+ * import { buildSpec, SimulatedCluster } from "./_fixtures.ts";
+ * const cluster = new SimulatedCluster({ workers: 4 });
+ * cluster.submit("00000000000000a1", buildSpec({ count: 2 }));
+ * cluster.runFor(3_000);
  * ```
  *
  * @module
@@ -39,7 +39,7 @@
 const LOOK_INTERVAL_MS = 50;
 const TICK_INTERVAL_MS = 100;
 const ORDER_TIMEOUT_MS = 400;
-/** A look that gets no answer is given up so long after its own wait, in ms. */
+/** Time added to a look's own wait before the look times out, in ms. */
 const LOOK_TIMEOUT_MARGIN_MS = 500;
 const FENCES_PER_TERM = 1_000_000;
 const HEARTBEAT_INTERVAL_MS = 1_500;
@@ -51,49 +51,49 @@
     readonly seed?: number;
     readonly capacity?: Resources;
     readonly taskMs?: number;
-    /** How long each task runs, in ms; goes before `taskMs`. */
+    /** Returns a task's run time, in ms; overrides `taskMs`. */
     readonly computeTaskMs?: (task: string, worker: WorkerId) => number;
-    /** Promises are checked at each event; a benchmark of a large floor leaves that out. */
+    /** Whether invariants are checked after each event (default); off in large benchmarks. */
     readonly hasInvariantChecks?: boolean;
-    /** What differs from the usual worker, by its number from 1. */
+    /** Returns overrides of the default worker report, by worker number from 1. */
     readonly getWorkerOverrides?: (number: number) => Partial<WorkerReport>;
-    /** How long the next commit takes, in ms. */
+    /** Returns the latency of the next commit, in ms. */
     readonly computeCommitDelayMs?: () => number;
-    /** Fronts that call the advice service. */
+    /** Number of fronts that call the advice service. */
     readonly fronts?: number;
     readonly clockDrift?: number;
     readonly queues?: readonly QueueConfig[];
-    /** Decides whether an order is lost on its way, carried out late, or both ways fine. */
+    /** Returns the fault to inject into an order. */
     readonly getFault?: (kind: "start" | "stop" | "look", worker: WorkerId) => OrderFault;
     readonly getEnd?: (task: string, worker: WorkerId) => MemberOutcome;
-    /** How long after its start a task ends its worker, in ms; `undefined` for one that does not. */
+    /** Returns the delay from a task's start to the crash of its worker, in ms, if it crashes it. */
     readonly getCrashAfterMs?: (task: string, worker: WorkerId) => number | undefined;
-    /** After a crash the next incarnation joins at the same address after this, in ms. */
+    /** Delay after a crash before the next incarnation joins at the same address, in ms. */
     readonly restartDelayMs?: number;
-    /** What a task reports: its tail in ms if it serves. */
+    /** Returns the tail latency that a serving task reports, in ms. */
     readonly getTailLatencyMs?: (task: string) => number;
-    /** Which workers the advice service admits to a step. */
+    /** Returns whether the advice service admits a worker to a step. */
     readonly isAdmitted?: (step: string, worker: WorkerId) => boolean;
 }
 
-/** What happens to an order on its way. */
+/** A network fault injected into an order. */
 export type OrderFault =
     | { readonly type: "none" }
-    /** Nothing arrives and nothing comes back. */
+    /** The order is dropped and the sender times out. */
     | { readonly type: "lost" }
-    /** No connection: the sender knows that nothing was sent. */
+    /** The connection is refused, so the sender knows that the order was not delivered. */
     | { readonly type: "refused" }
-    /** No answer; carried out after `afterMs`. */
+    /** The sender times out, but the worker executes the order after `afterMs`. */
     | { readonly type: "late"; readonly afterMs: number };
 
 const NO_FAULT: OrderFault = { type: "none" };
 
-/** The floor. */
+/** A dispatcher and its workers, simulated in virtual time. */
 export class SimulatedCluster {
     readonly #options: SimulatedClusterOptions;
     readonly committedLedger = new StateStore();
     readonly workers = new Map<WorkerId, TaskWorker>();
-    /** Every pace order: task, percent. */
+    /** Pace orders sent so far. */
     readonly paceOrders: { task: string; percent: number; atMs: number }[] = [];
     readonly #invariants = new InvariantChecker({ workers: this.workers, getNow: () => this.now });
     readonly #addresses = new Map<WorkerId, string>();
@@ -110,7 +110,7 @@
     dispatcher: Dispatcher;
 
     /**
-     * @param options Size, faults, behaviour of tasks; see {@link SimulatedClusterOptions}.
+     * @param options Cluster size, faults and task behaviour; see {@link SimulatedClusterOptions}.
      */
     constructor(options: SimulatedClusterOptions) {
         this.#options = options;
@@ -124,7 +124,7 @@
         this.dispatcher.setLanes(this.#listLanes());
     }
 
-    /** Adds a worker at an address; an earlier one there is dead. */
+    /** Adds a worker and kills the one that had the same address, if any. */
     addWorker(id: WorkerId, address: string): void {
         for (const [other, record] of this.#records) {
             if (record.address === address) {
@@ -154,7 +154,7 @@
         this.workers.set(id, this.#createWorker(id, capacity));
     }
 
-    /** Changes the room that a running worker has; its next heartbeat tells it. */
+    /** Changes a running worker's capacity, which its next heartbeat reports. */
     setCapacity(id: WorkerId, capacity: Resources): void {
         const record = this.#records.get(id);
         if (record !== undefined) {
@@ -163,7 +163,7 @@
         }
     }
 
-    /** Crashes a worker with all that runs there; its next incarnation joins after a while. */
+    /** Crashes a worker and its tasks; the next incarnation joins after the restart delay. */
     crashWorker(id: WorkerId): void {
         const record = this.#records.get(id);
         if (record === undefined || !this.workers.has(id)) {
@@ -179,27 +179,27 @@
         });
     }
 
-    /** Broken promises, in words. */
+    /** Descriptions of the invariant violations seen so far. */
     get violations(): readonly string[] {
         return this.#invariants.violations;
     }
 
-    /** Every run that began. */
+    /** Task runs started so far. */
     get runs(): readonly RunRecord[] {
         return this.#invariants.runs;
     }
 
-    /** Every crash of a worker. */
+    /** Worker crashes so far. */
     get crashes(): readonly CrashRecord[] {
         return this.#invariants.crashes;
     }
 
-    /** How often a task was started after a number of workers had crashed under it. */
+    /** Counts a task's starts after the given number of workers crashed while running it. */
     countStartsAfterCrashes(task: string, crashes: number): number {
         return this.#invariants.countStartsAfterCrashes(task, crashes);
     }
 
-    /** Ends a worker: its runs end with it, and it answers no more. */
+    /** Kills a worker permanently: its runs end and it no longer answers. */
     killWorker(id: WorkerId): void {
         const worker = this.workers.get(id);
         if (worker !== undefined) {
@@ -209,7 +209,7 @@
         }
     }
 
-    /** Has a worker announce that it leaves, after a time if it tells. */
+    /** Marks a worker as draining; `leavesInMs` announces when it will shut down. */
     drainWorker(id: WorkerId, leavesInMs?: number): void {
         const record = this.#records.get(id);
         if (record !== undefined) {
@@ -221,7 +221,7 @@
         }
     }
 
-    /** Hands a job in. */
+    /** Submits a job. */
     submit(id: string, spec: JobSpec, queue: QueueName = QUEUE): void {
         this.dispatcher.submit({ job: id as JobId, queue, pool: POOL, spec });
         this.#flush();
@@ -233,7 +233,7 @@
         this.#flush();
     }
 
-    /** Ends the leader; nobody leads until {@link SimulatedCluster.replaceLeader}. */
+    /** Stops the leader; there is none until {@link SimulatedCluster.replaceLeader}. */
     stopLeader(): void {
         this.#epoch += 1;
         this.#watchedWorkers.clear();
@@ -241,9 +241,9 @@
     }
 
     /**
-     * Replaces the leader: what it had not had agreed on is gone; orders on their way are not.
+     * Replaces the leader. Uncommitted facts are lost; orders in flight are not.
      *
-     * @param options Whether all workers' heartbeats reach the next one at once.
+     * @param options Whether the new leader receives all workers' heartbeats immediately.
      */
     replaceLeader({
         hasImmediateHeartbeats = true,
@@ -259,12 +259,12 @@
         this.#flush();
     }
 
-    /** Has a worker's heartbeats get lost; orders still reach it. */
+    /** Drops a worker's heartbeats from now on; orders still reach it. */
     dropHeartbeats(id: WorkerId): void {
         this.#unheardWorkers.add(id);
     }
 
-    /** Lets time pass. */
+    /** Advances virtual time. */
     runFor(ms: number): void {
         this.#time.runFor(ms, () => {
             if (this.#options.hasInvariantChecks ?? true) {
@@ -273,12 +273,12 @@
         });
     }
 
-    /** The time, in ms since the floor began. */
+    /** Virtual time since the simulation started, in ms. */
     get now(): number {
         return this.#time.now;
     }
 
-    /** The state of a job as a caller sees it. */
+    /** Returns a job's committed state, or "unknown". */
     getJobState(id: string): string {
         return this.committedLedger.jobs.get(id as JobId)?.state ?? "unknown";
     }
@@ -371,7 +371,7 @@
         }
     }
 
-    /** Agrees on what was decided, after the time of a commit, and carries it out. */
+    /** Commits the dispatcher's pending facts after the commit delay, then runs its effects. */
     #flush(): void {
         const { facts, effects } = this.dispatcher.takeOutcome();
         if (facts.length === 0 && effects.length === 0) {
@@ -526,7 +526,7 @@
         });
     }
 
-    /** The incarnation that answers at the address of one that is gone. */
+    /** Finds the incarnation that now answers at the address of a dead worker. */
     #findSuccessor(id: WorkerId): TaskWorker | undefined {
         const address = this.#addresses.get(id);
         const successor = [...this.#records.values()].find((other) => other.address === address);
--- a/dispatch/_invariant_checker.ts
+++ b/dispatch/_invariant_checker.ts
@@ -1,13 +1,13 @@
 /**
- * What a floor of stand-in workers saw, and the promises that it broke: a task runs in one place, not again once its
- * end is acknowledged, and within the room of its worker.
+ * Checks the safety invariants of a simulated cluster: a task runs on one worker at a time, never
+ * again after its completion is acknowledged, and within its worker's capacity.
  *
  * @example
  * ```ts
- * import { FloorAudit } from "./_invariant_checker.ts";
- * const audit = new FloorAudit({ workers, getNow: () => time.now });
- * audit.recordRun(worker, run);
- * audit.violations; // broken promises, in words
+ * import { InvariantChecker } from "./_invariant_checker.ts";
+ * const invariants = new InvariantChecker({ workers, getNow: () => time.now });
+ * invariants.recordRun(worker, run);
+ * invariants.violations; // empty while the invariants hold
  * ```
  *
  * @module
@@ -17,17 +17,20 @@
 import type { TaskRun, TaskWorker } from "../standin/task_worker.ts";
 import type { EndReport } from "./types.ts";
 
-/** A smaller room binds once it has been told for so long, in ms: three seconds and a heartbeat. */
+/**
+ * Time after a capacity reduction before starts must respect it, in ms: three seconds and one
+ * heartbeat interval.
+ */
 const CAPACITY_REDUCTION_GRACE_MS = 4_500;
 
 /** Options of {@link InvariantChecker}. */
 export interface InvariantCheckerOptions {
-    /** The workers that are up. */
+    /** Live workers. */
     readonly workers: ReadonlyMap<WorkerId, TaskWorker>;
     readonly getNow: () => number;
 }
 
-/** One run that began. */
+/** The start of a task run. */
 export interface RunRecord {
     readonly task: string;
     readonly attempt: number;
@@ -35,18 +38,18 @@
     readonly startedAtMs: number;
 }
 
-/** One crash of a worker. */
+/** A worker crash. */
 export interface CrashRecord {
     readonly worker: WorkerId;
-    /** What ran there when it ended. */
+    /** Tasks that were running on the worker. */
     readonly tasks: readonly string[];
     readonly crashedAtMs: number;
 }
 
-/** The checks of one floor. */
+/** Records the events of one simulated cluster and checks them against the invariants. */
 export class InvariantChecker {
     readonly #options: InvariantCheckerOptions;
-    /** Broken promises, in words. */
+    /** Descriptions of the invariant violations seen so far. */
     readonly violations: string[] = [];
     readonly runs: RunRecord[] = [];
     readonly crashes: CrashRecord[] = [];
@@ -57,20 +60,20 @@
     >();
 
     /**
-     * @param options The workers, the clock.
+     * @param options Live workers and the clock.
      */
     constructor(options: InvariantCheckerOptions) {
         this.#options = options;
     }
 
-    /** Notes the room that a worker has from now on. */
+    /** Records a worker's capacity from now on. */
     recordCapacity(id: WorkerId, capacity: Resources): void {
         const history = this.#capacityHistory.get(id) ?? [];
         history.push({ sinceMs: this.#options.getNow(), capacity });
         this.#capacityHistory.set(id, history);
     }
 
-    /** Notes a run that has just begun. */
+    /** Records and checks a run that has just started. */
     recordRun(worker: WorkerId, run: TaskRun): void {
         const nowMs = this.#options.getNow();
         for (const [other, state] of this.#options.workers) {
@@ -85,20 +88,20 @@
         this.#checkStartCapacity(worker);
     }
 
-    /** Notes the crash of a worker that is still up. */
+    /** Records a worker crash; called while the worker is still listed. */
     recordCrash(worker: WorkerId): void {
         const tasks = this.#options.workers.get(worker)?.runs.map((run) => run.task) ?? [];
         this.crashes.push({ worker, tasks, crashedAtMs: this.#options.getNow() });
     }
 
-    /** Notes an end that a worker may forget. */
+    /** Records a task end whose acknowledgement has reached the worker. */
     recordAcknowledgedEnd(end: EndReport): void {
         if (end.how === "done") {
             this.#completedTasks.add(end.task);
         }
     }
 
-    /** How often a task was started after a number of workers had crashed under it. */
+    /** Counts a task's starts after the given number of workers crashed while running it. */
     countStartsAfterCrashes(task: string, crashes: number): number {
         const crash = this.crashes.filter(({ tasks }) => tasks.includes(task))[crashes - 1];
         return crash === undefined
@@ -107,7 +110,7 @@
                   .length;
     }
 
-    /** Holds every worker against the rooms that it ever had. */
+    /** Checks that each worker's usage fits at least one capacity that it has had. */
     checkWorkerCapacity(): void {
         for (const [id, worker] of this.#options.workers) {
             worker.advance();
@@ -118,7 +121,7 @@
         }
     }
 
-    /** A start must fit the room that the worker has, or had within the time that a change takes to be known. */
+    /** Checks that a start fits a capacity that the worker had within the grace period. */
     #checkStartCapacity(id: WorkerId): void {
         const nowMs = this.#options.getNow();
         const history = this.#capacityHistory.get(id) ?? [];
--- a/dispatch/_workload_simulation.ts
+++ b/dispatch/_workload_simulation.ts
@@ -1,14 +1,13 @@
 /**
- * A day on a full floor, in virtual time: three queues with the widths, sizes and lengths of a large deployment's
- * sheet, advice that admits a part of the workers only, tasks of uneven length, wrong estimates, and gangs
- * of up to 120 tasks.
+ * Runs a synthetic production workload on a simulated cluster: three queues with log-normal job
+ * sizes, inaccurate estimates, gangs of up to 120 tasks, and advice that admits only some workers.
  *
  * @example
  * ```ts
- * import { FullFloorDay } from "./_workload_simulation.ts";
- * const day = new FullFloorDay({ workers: 380, seed: 1 });
- * day.run(30, 0.9);
- * day.listOutcomes();
+ * import { WorkloadSimulation } from "./_workload_simulation.ts";
+ * const simulation = new WorkloadSimulation({ workers: 380, seed: 1 });
+ * simulation.run(30, 0.9);
+ * simulation.listSummaries();
  * ```
  *
  * @module
@@ -20,7 +19,7 @@
 import { createRandom } from "../tools/seeded_random.ts";
 import { buildQueue, buildSpec, SimulatedCluster } from "./_fixtures.ts";
 
-/** A quantity that is spread about its mean; log-normal, as sizes of jobs are. */
+/** A log-normal distribution, truncated at `max`. */
 interface LogNormal {
     readonly mean: number;
     /** Standard deviation of the logarithm. */
@@ -28,10 +27,10 @@
     readonly max: number;
 }
 
-/** One queue's jobs. */
+/** Arrival rate and job size distributions of one queue. */
 interface QueueWorkload {
     readonly queue: QueueConfig;
-    /** Jobs a second on a floor of {@link BASELINE_WORKERS} that is just full. */
+    /** Arrival rate that saturates a cluster of {@link BASELINE_WORKERS} workers. */
     readonly jobsPerSecond: number;
     readonly tasksPerStep: LogNormal;
     readonly cpu: LogNormal;
@@ -40,14 +39,13 @@
     readonly stepsPerJob: number;
     readonly gangFraction: number;
     readonly checkpointFraction: number;
-    /** Share of the workers that may run a step. */
+    /** Fraction of the workers that advice admits to a step. */
     readonly eligibleFraction: number;
 }
 
 interface SubmittedJob {
     readonly id: string;
     readonly submittedAtMs: number;
-    /** Core-seconds. */
     readonly coreSeconds: number;
     readonly objectiveMs: number;
     readonly maxWidth: number;
@@ -56,12 +54,12 @@
 const BASELINE_WORKERS = 380;
 const BASELINE_FRONTS = 97;
 const TIME_STEP_MS = 50;
-/** Jobs of the last seconds are not counted: they had no time to end. */
+/** Jobs submitted this close to the end have no time to complete and are not counted, in ms. */
 const EXCLUDED_TAIL_MS = 12_000;
-/** Estimates are off by up to this factor either way. */
+/** Standard deviation of the logarithm of the estimation error. */
 const ESTIMATE_ERROR_SIGMA = 0.6;
 const SLOW_WORKER_FACTOR = 1.3;
-/** A job that took this many times its objective was not served. */
+/** A job counts as served if it takes at most this many times its objective. */
 const MAX_SERVED_FACTOR = 3;
 const NO_FAULTS: FaultRates = {
     crashingJobFraction: 0,
@@ -70,7 +68,7 @@
 };
 const CRASH_DELAY_MS = 10;
 const WORKER_CAPACITY: Resources = { cpu: 16_000, memoryMb: 65_536, gpu: 0 };
-/** Troubles draw from a source of their own: the jobs stay those of the seed. */
+/** Seeds a separate generator for faults, so that they do not change the jobs of a seed. */
 const FAULT_SEED_OFFSET = 1_000_000;
 
 const WORKLOADS: readonly QueueWorkload[] = [
@@ -131,13 +129,13 @@
     },
 ];
 
-/** What goes wrong on a day; nothing by default. */
+/** Rates of the injected faults; zero by default. */
 export interface FaultRates {
-    /** Share of the jobs whose first task crashes each worker that starts it. */
+    /** Fraction of the jobs whose first task crashes each worker that starts it. */
     readonly crashingJobFraction: number;
-    /** Workers that crash by themselves, a second. */
+    /** Worker crashes per second that no task causes. */
     readonly crashesPerSecond: number;
-    /** Workers whose room shrinks or grows, a second. */
+    /** Worker capacity changes per second. */
     readonly capacityChangesPerSecond: number;
 }
 
@@ -148,34 +146,34 @@
     readonly faultRates?: Partial<FaultRates>;
 }
 
-/** What a day's troubles led to. */
+/** Effects of the injected faults. */
 export interface FaultReport {
-    /** Crashes of workers, by themselves or by a task. */
+    /** Worker crashes, whether or not a task caused them. */
     readonly crashes: number;
     readonly crashingJobs: number;
-    /** Crashing jobs that were given up. */
+    /** Crashing jobs that failed. */
     readonly givenUp: number;
-    /** The most starts of a task after three workers had crashed under it. */
+    /** Maximum number of starts of a task after three workers crashed while running it. */
     readonly mostStartsAfterThree: number;
-    /** Other jobs that were failed. */
+    /** Other jobs that failed. */
     readonly failedOthers: number;
     readonly violations: number;
 }
 
-/** What became of some jobs. */
+/** Latency results of a group of jobs. */
 export interface WorkloadSummary {
-    /** The queue, or a part of its jobs by size. */
+    /** Queue name, or a size class of its jobs. */
     readonly name: string;
     readonly jobs: number;
-    /** Mean of the jobs' widest steps, in tasks. */
+    /** Mean number of tasks in the widest step of each job. */
     readonly meanWidth: number;
     readonly withinObjective: number;
-    /** In time, or within three times the objective. */
+    /** Jobs that took at most {@link MAX_SERVED_FACTOR} times their objective. */
     readonly served: number;
     readonly medianLatencyMs: number;
 }
 
-/** One day of one seed. */
+/** One workload run, determined by its seed. */
 export class WorkloadSimulation {
     readonly #random: () => number;
     readonly #taskDurationsMs = new Map<string, number>();
@@ -191,7 +189,7 @@
     #durationSeconds = 0;
 
     /**
-     * @param options Size and seed; see {@link WorkloadSimulationOptions}.
+     * @param options Cluster size, seed and fault rates; see {@link WorkloadSimulationOptions}.
      */
     constructor(options: WorkloadSimulationOptions) {
         const { workers, seed } = options;
@@ -214,10 +212,10 @@
     }
 
     /**
-     * Hands in jobs for a while.
+     * Submits jobs at a constant rate.
      *
-     * @param seconds How long.
-     * @param load The share of the rates that just fill the floor.
+     * @param seconds Virtual time to run for.
+     * @param load Fraction of the arrival rates that saturate the cluster.
      */
     run(seconds: number, load: number): void {
         this.#durationSeconds = seconds;
@@ -238,9 +236,9 @@
     }
 
     /**
-     * Tells what became of each queue's jobs, and of its largest tenth and the fifth below it.
+     * Summarizes each queue's jobs, its largest 10% and the next 20% by work.
      *
-     * @returns Three outcomes a queue; jobs of the last seconds are left out, as they had no time to end.
+     * @returns Three summaries per queue, without the jobs submitted shortly before the end.
      */
     listSummaries(): WorkloadSummary[] {
         return [...this.#submittedJobs].flatMap(([{ queue }, all]) => {
@@ -260,9 +258,9 @@
     }
 
     /**
-     * Tells what the day's troubles led to.
+     * Summarizes the effects of the injected faults.
      *
-     * @returns Counts over the whole day.
+     * @returns Counts over the whole run.
      */
     summarizeFaults(): FaultReport {
         const failed = [...this.#submittedJobs.values()]
@@ -377,7 +375,7 @@
         };
     }
 
-    /** Log-normal with the given mean. */
+    /** Draws a log-normal sample with the given mean, capped at `max`. */
     #takeLogNormalSample({ mean, sigma, max }: LogNormal): number {
         const sample = mean * Math.exp(sigma * this.#takeNormalSample() - (sigma * sigma) / 2);
         return Math.min(max, sample);
@@ -389,7 +387,7 @@
     }
 }
 
-/** The first digit of a job's id tells its queue, for the advice that its steps get. */
+/** Returns the first digit of a job id, which identifies the queue when advice is simulated. */
 function getQueueDigit(workload: QueueWorkload): number {
     return WORKLOADS.indexOf(workload);
 }
--- a/dispatch/capacity_test.ts
+++ b/dispatch/capacity_test.ts
@@ -11,7 +11,7 @@
 const NO_CAPACITY: Resources = { cpu: 0, memoryMb: 0, gpu: 0 };
 const HEARTBEAT_INTERVAL_MS = 1_500;
 
-/** Hands in jobs that would fill the floor several times over. */
+/** Submits more work than the cluster has capacity for. */
 function submitBacklog(cluster: SimulatedCluster, jobs: number, intervalMs: number): void {
     const needs = { cpu: 2_000, memoryMb: 1_000, gpu: 0 };
     for (const id of buildJobIds(jobs)) {
@@ -20,7 +20,7 @@
     }
 }
 
-/** A heartbeat of another writer in the name of the first worker. */
+/** Sends a heartbeat under the first worker's id that the worker itself did not send. */
 function sendForeignHeartbeat(
     cluster: SimulatedCluster,
     capacity: Resources,
@@ -64,7 +64,7 @@
     });
 });
 
-// Guards against placing by the room that a worker told when it joined.
+// Guards against placement by the capacity that a worker reported when it joined.
 test("a worker whose room shrinks while it runs gets no start beyond it", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 700 });
     cluster.runFor(2_000);
@@ -73,7 +73,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-// Guards against taking a worker without any room for a damaged message, and placing on as before.
+// Guards against discarding a report of zero capacity as malformed.
 test("a worker that has no room left gets no start", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 700 });
     cluster.runFor(2_000);
@@ -82,7 +82,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-// Guards against room that stays unused after it has grown back.
+// Guards against capacity that stays unused after it is restored.
 test("a worker whose room grows back is filled again", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 700 });
     cluster.runFor(2_000);
@@ -96,7 +96,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-// Guards against dropping all that a worker says, its farewell included, once its room has changed.
+// Guards against ignoring a worker's shutdown notice after its capacity has changed.
 test("a worker whose room has changed can still announce that it leaves", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 300 });
     cluster.runFor(2_000);
@@ -109,7 +109,7 @@
     t.true(cluster.runs.slice(startsBefore).every(({ worker }) => worker !== "w1"));
 });
 
-// Guards against a new leader that places by what was on record before the outage.
+// Guards against a new leader that places by capacities recorded before the outage.
 test("a room that shrinks while nobody leads binds the next leader", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 2_000 });
     cluster.runFor(2_000);
@@ -122,7 +122,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-// Guards against a floor that stands still after each change of leaders until all heartbeats came in.
+// Guards against a cluster that idles after a leader change until all heartbeats have arrived.
 test("a new leader gives out work at once on workers whose heartbeats are on record", (t) => {
     const cluster = new SimulatedCluster({ workers: 4, taskMs: 300 });
     cluster.runFor(3_200);
@@ -133,7 +133,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-// Guards against starts on a worker that answers orders while its heartbeats, and its new room, get lost.
+// Guards against starts on a worker whose heartbeats, and so its capacity changes, are lost.
 test("a worker that nobody hears of gets no new work although it answers orders", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 700 });
     cluster.runFor(2_000);
@@ -143,7 +143,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-// Guards against starts that were decided on a fresh room and leave seconds later, when a commit was held up.
+// Guards against sending a start after a slow commit, when its capacity report is stale.
 test("a start that a slow commit held up is not sent on a room that was told too long ago", (t) => {
     let commitDelayMs = 12;
     const cluster = new SimulatedCluster({
@@ -162,7 +162,7 @@
     t.is(cluster.runs.length, 0);
 });
 
-// Guards against refusing work as impossible that has room again in a moment.
+// Guards against rejecting work as infeasible during a temporary capacity reduction.
 test("a job that fits the workers at their usual size is not refused while they are small", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 300 });
     cluster.runFor(2_000);
@@ -179,7 +179,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-// Guards against starts on room that only another writer's message has named.
+// Guards against starts that rely on a single unconfirmed report of larger capacity.
 test("a larger room that was told once is not given away", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 700 });
     cluster.runFor(1_000);
@@ -188,7 +188,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-// Guards against losing a worker to another writer that names less room than it has.
+// Guards against a false report of smaller capacity that disables a worker for good.
 test("a smaller room of another writer lasts until the worker's own next heartbeats", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 300 });
     cluster.runFor(1_000);
@@ -198,7 +198,7 @@
     t.is(cluster.getJobState(JOB), "complete");
 });
 
-// Guards against a member that knows an older room and passes a heartbeat on as one that says nothing new.
+// Guards against a member that holds an outdated capacity and forwards a heartbeat as unchanged.
 test("a heartbeat that was gathered as saying nothing new tells its own room", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 700 });
     cluster.runFor(1_600);
@@ -217,7 +217,7 @@
     t.true(cluster.runs.length > 10);
 });
 
-// Guards against a bound that holds for one change of room and not for many beside other faults.
+// Guards against limits that hold for one capacity change but not for many, combined with faults.
 test("rooms that shrink and grow beside other faults are never given twice", (t) => {
     const property = fc.property(fc.integer({ min: 1, max: 1_000_000 }), (seed) => {
         const random = createRandom(seed);
--- a/dispatch/crash_loop_test.ts
+++ b/dispatch/crash_loop_test.ts
@@ -20,10 +20,10 @@
 const JOB = "00000000000000c1";
 const CRASHING_TASK = `${JOB}.0.0.0` as TaskName;
 const CRASH_DELAY_MS = 10;
-/** A task is not started this often again once three workers have crashed under it. */
+/** Starts of a task after three workers crashed while running it must stay below this. */
 const START_LIMIT = 3;
 
-/** A floor on which one task ends each worker that starts it. */
+/** Builds a cluster in which one task crashes each worker that starts it. */
 function buildCrashingCluster(options: Partial<SimulatedClusterOptions> = {}): SimulatedCluster {
     return new SimulatedCluster({
         workers: 6,
@@ -70,7 +70,7 @@
     t.deepEqual(listEvidence(established), ["a late"]);
 });
 
-// Guards against a task that takes its workers down one after another for as long as its job is open.
+// Guards against a task that keeps crashing workers for as long as its job is open.
 test("a task that crashes each worker it starts on is given up", (t) => {
     const cluster = buildCrashingCluster();
     cluster.submit(JOB, buildSpec({}));
@@ -80,7 +80,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-// Guards against counts of crashes that are lost with the leader that saw them.
+// Guards against crash counts that are lost in a leader change.
 test("a task that crashes its workers is given up although each crash takes the leader along", (t) => {
     const cluster = buildCrashingCluster();
     cluster.submit(JOB, buildSpec({}));
@@ -94,7 +94,7 @@
     t.is(cluster.getJobState(JOB), "failed");
 });
 
-// Guards against crashes that are not counted because the lease ends before the next incarnation shows them.
+// Guards against missing a crash because the lease expires before the next incarnation joins.
 test("a task that crashes its workers is given up although they return only after their leases", (t) => {
     const cluster = buildCrashingCluster({ restartDelayMs: 14_000, workers: 10 });
     cluster.submit(JOB, buildSpec({}));
@@ -103,7 +103,7 @@
     t.is(cluster.getJobState(JOB), "failed");
 });
 
-// Guards against crashes that are forgotten with a leader that gave the worker's runs up and did not see it return.
+// Guards against losing a crash when the leader changes before the worker's next incarnation joins.
 test("a task that crashes its workers is given up although leaders change while they are away", (t) => {
     for (const intervalMs of [9_300, 10_000, 12_000, 13_000]) {
         const cluster = buildCrashingCluster({ restartDelayMs: 14_000, workers: 12 });
@@ -122,7 +122,7 @@
     }
 });
 
-// Guards against a bound that holds only for tasks that crash their workers at once.
+// Guards against a limit that covers only tasks that crash their workers right after the start.
 test("a task that crashes its workers late in its run is given up", (t) => {
     const cluster = buildCrashingCluster({
         taskMs: 4_000,
@@ -134,7 +134,7 @@
     t.is(cluster.getJobState(JOB), "failed");
 });
 
-// Guards against a gang that takes a worker a member down with each attempt.
+// Guards against a gang that crashes one worker per member in each attempt.
 test("a gang whose members crash their workers is given up", (t) => {
     const cluster = buildCrashingCluster({
         getCrashAfterMs: (task) => (task.startsWith(JOB) ? CRASH_DELAY_MS : undefined),
@@ -145,7 +145,7 @@
     t.is(cluster.getJobState(JOB), "failed");
 });
 
-// Guards against a lasting task that is started again for ever, whatever it does to its workers.
+// Guards against restarting a perpetual task forever although it crashes its workers.
 test("a lasting task that crashes each worker it starts on is given up", (t) => {
     const cluster = buildCrashingCluster();
     cluster.submit(JOB, buildSpec({ isPerpetual: true }));
@@ -154,7 +154,7 @@
     t.is(cluster.getJobState(JOB), "failed");
 });
 
-// Guards against giving a lasting task up because its workers crash now and then over a long life.
+// Guards against failing a perpetual task because of occasional crashes over a long run.
 test("a lasting task outlives any number of crashes that come long after its starts", (t) => {
     const cluster = new SimulatedCluster({ workers: 3, taskMs: 1e9 });
     cluster.submit(JOB, buildSpec({ isPerpetual: true }));
@@ -167,7 +167,7 @@
     t.is(cluster.runs.length, 9);
 });
 
-// Guards against failing the tasks that only ran beside the one that crashes its workers.
+// Guards against failing tasks that merely shared a worker with the crashing one.
 test("jobs beside tasks that crash their workers complete", (t) => {
     const crashingJobs = new Set(buildJobIds(160).filter((_id, i) => i % 20 === 7));
     const cluster = buildCrashingCluster({
@@ -189,7 +189,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-// Guards against counting a worker's announced end as a crash under what still ran there.
+// Guards against counting an announced shutdown as a crash of the tasks that were running there.
 test("tasks on workers that announced their end before they were replaced are not suspected", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 30_000 });
     cluster.submit(JOB, buildSpec({}));
@@ -209,7 +209,7 @@
     );
 });
 
-// Guards against failing jobs whose workers crash by causes of their own.
+// Guards against failing jobs whose workers crash for unrelated reasons.
 test("jobs on workers that crash now and then by themselves complete", (t) => {
     const random = createRandom(5);
     const cluster = new SimulatedCluster({ workers: 12, taskMs: 1_500 });
@@ -229,7 +229,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-// Guards against blaming tasks for a worker that goes down again and again by itself, and looks idle each time it is back.
+// Guards against blaming tasks for a flapping worker, which looks idle after each restart.
 test("jobs beside workers that go down and up by turns complete", (t) => {
     for (const seed of [1, 2, 3, 4, 5, 6]) {
         const random = createRandom(seed);
@@ -256,7 +256,7 @@
     }
 });
 
-// Guards against a bound that holds for crashes alone and not beside lost orders, cuts and changes of leaders.
+// Guards against a limit that fails when crashes combine with lost orders and leader changes.
 test("beside other faults a task that crashes its workers is started within bounds, and others end", (t) => {
     const property = fc.property(fc.integer({ min: 1, max: 1_000_000 }), (seed) => {
         const random = createRandom(seed);
--- a/dispatch/deployments_test.ts
+++ b/dispatch/deployments_test.ts
@@ -2,8 +2,6 @@
 import type { WorkerId } from "../job/mod.ts";
 import { buildSpec, SimulatedCluster, QUEUE } from "./_fixtures.ts";
 
-/** Deployments of other kinds than those whose days are played: what they ask of placing alone. */
-
 const JOB = "00000000000000a1";
 const OTHER_JOB = "00000000000000b2";
 
@@ -12,7 +10,7 @@
 }
 
 test("tasks with accelerators go where some are free, one each", (t) => {
-    // Two of four workers have accelerators. Counted by processors alone all would look alike.
+    // Guards against placement that considers processors alone.
     const cluster = new SimulatedCluster({
         workers: 4,
         taskMs: 500,
@@ -66,8 +64,8 @@
 });
 
 test("a worker that guards itself and refuses costs no attempt of the job's budget", (t) => {
-    // The worker is smaller than it told, and refuses what does not fit. Each refusal counted as a
-    // failure would fail the job; tried again at once for ever it would fill the worker's queue.
+    // Guards against counting a worker's capacity refusals as failed attempts, and against
+    // retrying them in a tight loop.
     let refusals = 0;
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 300 });
     const [first] = cluster.workers.values();
@@ -87,7 +85,7 @@
     t.true(refusals < 200, `${refusals} refusals`);
 });
 
-// Guards against sending a start that no worker can read dozens of times a second for as long as its job is open.
+// Guards against frequent retries of a start that no worker can parse.
 test("a start that workers refuse as unreadable is repeated seldom, and other jobs go on", (t) => {
     let refusals = 0;
     const cluster = new SimulatedCluster({ workers: 3, taskMs: 300 });
@@ -119,8 +117,7 @@
 });
 
 test("a task that lasts is back within seconds of its worker's death, beside batch work", (t) => {
-    // Callers of the lasting task see it away. Its worker dies; the floor is full of batch tasks, and
-    // the lasting one has to get the next room that opens.
+    // The cluster is full of batch tasks: the perpetual task must get the next free capacity.
     const cluster = new SimulatedCluster({
         workers: 3,
         computeTaskMs: (task) => (task.startsWith(JOB) ? 1e9 : 700),
--- a/dispatch/dispatcher_test.ts
+++ b/dispatch/dispatcher_test.ts
@@ -6,7 +6,7 @@
 
 const JOB = "00000000000000a1";
 
-/** A source of numbers in [0, 1) that a seed repeats. */
+/** Creates a seeded generator of numbers in [0, 1). */
 function createRandom(seed: number): () => number {
     let state = seed;
     return () => {
@@ -44,9 +44,7 @@
 });
 
 test("a start that is carried out late does not run beside its repetition", (t) => {
-    // The caller sees one result. The first start gets no answer, the second is answered and
-    // runs; the first arrives 3 s later, when the task is done. A worker that was not told of a
-    // higher fence would run it again if the task had moved elsewhere meanwhile.
+    // Guards against a delayed start that bypasses the fence and runs a completed task again.
     let sent = 0;
     const cluster = new SimulatedCluster({
         workers: 3,
@@ -65,8 +63,8 @@
 });
 
 test("a dead worker's tasks start elsewhere only after its lease is over", (t) => {
-    // The caller waits some seconds longer. The worker is gone without a word; it might as well be
-    // cut off and work on, so its lease must run out by its own slow clock first.
+    // A silent worker may be partitioned and still running: its lease must expire by its own
+    // clock, which may be slow, before a task is restarted.
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 2_000, clockDrift: 0.02 });
     cluster.submit(JOB, buildSpec({ count: 1 }));
     cluster.runFor(500);
@@ -81,9 +79,8 @@
 });
 
 test("a dead worker whose address refuses connections loses its tasks and its work", (t) => {
-    // The caller's job completes after the lease. The worker is gone for good and its address
-    // refuses every connection at once. A refusal taken for an answer would renew the lease with
-    // each look, and the worker, always idle, would be tried again and again.
+    // Guards against treating a refused connection as an answer, which would renew the lease and
+    // keep the dead worker eligible for placement.
     let isDead = false;
     const cluster = new SimulatedCluster({
         workers: 2,
@@ -139,8 +136,7 @@
 });
 
 test("a worker that fails everything does not draw all work", (t) => {
-    // One worker fails at once whatever it starts, so it always looks idle. Its failures are of
-    // different jobs: it is paused, and jobs complete on the others within their attempts.
+    // Guards against a worker that fails every task quickly and attracts work by looking idle.
     const failingWorker = "w1" as WorkerId;
     const cluster = new SimulatedCluster({
         workers: 6,
@@ -206,8 +202,8 @@
 });
 
 test("fillers pause while a serving task beside them misses its target", (t) => {
-    // The serving task's users wait longer than promised from 2 s to 6 s. The filler beside it is
-    // told to pause within a look, and works again some seconds after the tail is calm.
+    // The serving task misses its latency target from 2 s to 6 s; the filler must pause promptly
+    // and resume only once the tail latency has stayed low for some seconds.
     let now = 0;
     const cluster = new SimulatedCluster({
         workers: 1,
@@ -254,8 +250,8 @@
 
 for (const seed of [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12]) {
     test(`random faults break no promise (seed ${seed})`, (t) => {
-        // Callers see every job complete once. Orders are lost or carried out seconds late, a
-        // worker dies and another takes its address, the leader is replaced twice.
+        // Orders are lost or delayed, one worker is replaced at its address, and the leader
+        // changes twice.
         const random = createRandom(seed);
         let isFaultFree = false;
         const cluster = new SimulatedCluster({
@@ -299,8 +295,7 @@
 }
 
 test("a worker that fails everything does not use up the attempts of one wide job", (t) => {
-    // The caller's wide job completes. One of three workers fails within 40 ms whatever it starts, so it has room
-    // when the others have none: a repeated task that went back there failed its job within half a second.
+    // Guards against retrying tasks on a worker that fails quickly and so always has free capacity.
     const failingWorker = "w1" as WorkerId;
     const cluster = new SimulatedCluster({
         workers: 3,
@@ -317,7 +312,7 @@
 });
 
 test("a new leader looks first at the workers on which jobs wait", (t) => {
-    // The callers of running jobs wait for ends that came during the change of leaders; idle workers can wait.
+    // Guards against delaying task completions that were reported during a leader change.
     const cluster = new SimulatedCluster({ workers: 30, taskMs: 5_000 });
     cluster.runFor(300);
     cluster.submit(JOB, buildSpec({ count: 2 }));
--- a/dispatch/workload_simulation_test.ts
+++ b/dispatch/workload_simulation_test.ts
@@ -1,11 +1,11 @@
 import test from "ava";
 import { WorkloadSimulation } from "./_workload_simulation.ts";
 
-/** A task is not started this often again once three workers have crashed under it. */
+/** Starts of a task after three workers crashed while running it must stay below this. */
 const START_LIMIT = 3;
 
 for (const seed of [1, 2, 3]) {
-    // Guards against promises that hold on small floors and break under a whole day's load.
+    // Guards against invariants that hold on small clusters but break under sustained load.
     test(`a full floor keeps its promises while tasks crash workers and rooms change (seed ${seed})`, (t) => {
         const faultRates = {
             crashingJobFraction: 0.02,
