--- a/dispatch/_invariant_checker.ts
+++ b/dispatch/_invariant_checker.ts
@@ -78,11 +78,15 @@
         const nowMs = this.#options.getNow();
         for (const [other, state] of this.#options.workers) {
             if (other !== worker && state.runs.some((r) => r.task === run.task)) {
-                this.violations.push(`${run.task} runs on ${other} and ${worker} at ${nowMs}`);
+                this.violations.push(
+                    `${run.task} runs on both ${other} and ${worker} at ${nowMs} ms`,
+                );
             }
         }
         if (this.#completedTasks.has(run.task)) {
-            this.violations.push(`${run.task} runs again at ${nowMs} after it was done`);
+            this.violations.push(
+                `${run.task} started again at ${nowMs} ms after its completion was acknowledged`,
+            );
         }
         this.runs.push({ task: run.task, attempt: run.attempt, worker, startedAtMs: nowMs });
         this.#checkStartCapacity(worker);
@@ -116,7 +120,7 @@
             worker.advance();
             const history = this.#capacityHistory.get(id) ?? [];
             if (history.every(({ capacity }) => isOverCapacity(worker.used, capacity))) {
-                this.violations.push(`${id} is over its capacity at ${this.#options.getNow()}`);
+                this.violations.push(`${id} exceeds its capacity at ${this.#options.getNow()} ms`);
             }
         }
     }
@@ -133,7 +137,7 @@
         const memoryMb = Math.max(...effective.map(({ capacity }) => capacity.memoryMb));
         const worker = this.#options.workers.get(id);
         if (worker !== undefined && isOverCapacity(worker.used, { cpu, memoryMb, gpu: 0 })) {
-            this.violations.push(`a start brings ${id} over its room at ${nowMs}`);
+            this.violations.push(`a start made ${id} exceed its capacity at ${nowMs} ms`);
         }
     }
 }
--- a/dispatch/capacity_test.ts
+++ b/dispatch/capacity_test.ts
@@ -35,7 +35,7 @@
     });
 }
 
-test("a smaller room counts at once, a larger one when two heartbeats in a row tell it", (t) => {
+test("a smaller capacity applies at once, a larger one after two consecutive heartbeats report it", (t) => {
     t.deepEqual(mergeCapacity(FULL_CAPACITY, REDUCED_CAPACITY, undefined), {
         capacity: REDUCED_CAPACITY,
         unconfirmed: undefined,
@@ -65,7 +65,7 @@
 });
 
 // Guards against placement by the capacity that a worker reported when it joined.
-test("a worker whose room shrinks while it runs gets no start beyond it", (t) => {
+test("a worker whose capacity shrinks gets no start that exceeds it", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 700 });
     cluster.runFor(2_000);
     cluster.setCapacity("w1" as WorkerId, REDUCED_CAPACITY);
@@ -74,7 +74,7 @@
 });
 
 // Guards against discarding a report of zero capacity as malformed.
-test("a worker that has no room left gets no start", (t) => {
+test("a worker without capacity gets no start", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 700 });
     cluster.runFor(2_000);
     cluster.setCapacity("w1" as WorkerId, NO_CAPACITY);
@@ -83,7 +83,7 @@
 });
 
 // Guards against capacity that stays unused after it is restored.
-test("a worker whose room grows back is filled again", (t) => {
+test("a worker whose capacity is restored is fully used again", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 700 });
     cluster.runFor(2_000);
     cluster.setCapacity("w1" as WorkerId, REDUCED_CAPACITY);
@@ -97,7 +97,7 @@
 });
 
 // Guards against ignoring a worker's shutdown notice after its capacity has changed.
-test("a worker whose room has changed can still announce that it leaves", (t) => {
+test("a worker whose capacity has changed can still announce its shutdown", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 300 });
     cluster.runFor(2_000);
     cluster.setCapacity("w1" as WorkerId, REDUCED_CAPACITY);
@@ -110,7 +110,7 @@
 });
 
 // Guards against a new leader that places by capacities recorded before the outage.
-test("a room that shrinks while nobody leads binds the next leader", (t) => {
+test("a capacity that shrinks while there is no leader limits the next leader", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 2_000 });
     cluster.runFor(2_000);
     cluster.stopLeader();
@@ -123,7 +123,7 @@
 });
 
 // Guards against a cluster that idles after a leader change until all heartbeats have arrived.
-test("a new leader gives out work at once on workers whose heartbeats are on record", (t) => {
+test("a new leader places tasks at once on workers whose heartbeats are on record", (t) => {
     const cluster = new SimulatedCluster({ workers: 4, taskMs: 300 });
     cluster.runFor(3_200);
     cluster.replaceLeader({ hasImmediateHeartbeats: false });
@@ -134,7 +134,7 @@
 });
 
 // Guards against starts on a worker whose heartbeats, and so its capacity changes, are lost.
-test("a worker that nobody hears of gets no new work although it answers orders", (t) => {
+test("a worker whose heartbeats are lost gets no new work although it answers orders", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 700 });
     cluster.runFor(2_000);
     cluster.dropHeartbeats("w1" as WorkerId);
@@ -144,7 +144,7 @@
 });
 
 // Guards against sending a start after a slow commit, when its capacity report is stale.
-test("a start that a slow commit held up is not sent on a room that was told too long ago", (t) => {
+test("a start delayed by a slow commit is not sent when the capacity report is stale", (t) => {
     let commitDelayMs = 12;
     const cluster = new SimulatedCluster({
         workers: 1,
@@ -163,7 +163,7 @@
 });
 
 // Guards against rejecting work as infeasible during a temporary capacity reduction.
-test("a job that fits the workers at their usual size is not refused while they are small", (t) => {
+test("a job that fits the workers' full capacity is not rejected while it is reduced", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 300 });
     cluster.runFor(2_000);
     for (const id of ["w1", "w2"]) {
@@ -180,7 +180,7 @@
 });
 
 // Guards against starts that rely on a single unconfirmed report of larger capacity.
-test("a larger room that was told once is not given away", (t) => {
+test("a larger capacity that was reported only once is not allocated", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 700 });
     cluster.runFor(1_000);
     sendForeignHeartbeat(cluster, { cpu: 999_000, memoryMb: 999_000, gpu: 8 }, 2);
@@ -189,7 +189,7 @@
 });
 
 // Guards against a false report of smaller capacity that disables a worker for good.
-test("a smaller room of another writer lasts until the worker's own next heartbeats", (t) => {
+test("a falsely reported smaller capacity lasts until the worker's own next heartbeats", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 300 });
     cluster.runFor(1_000);
     sendForeignHeartbeat(cluster, NO_CAPACITY, 2);
@@ -199,7 +199,7 @@
 });
 
 // Guards against a member that holds an outdated capacity and forwards a heartbeat as unchanged.
-test("a heartbeat that was gathered as saying nothing new tells its own room", (t) => {
+test("a heartbeat forwarded as unchanged still reports its own capacity", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 700 });
     cluster.runFor(1_600);
     cluster.dropHeartbeats("w1" as WorkerId);
@@ -218,7 +218,7 @@
 });
 
 // Guards against limits that hold for one capacity change but not for many, combined with faults.
-test("rooms that shrink and grow beside other faults are never given twice", (t) => {
+test("changing capacities are never allocated twice under other faults", (t) => {
     const property = fc.property(fc.integer({ min: 1, max: 1_000_000 }), (seed) => {
         const random = createRandom(seed);
         let isFaultFree = false;
--- a/dispatch/crash_loop_test.ts
+++ b/dispatch/crash_loop_test.ts
@@ -42,7 +42,7 @@
     return { unit, attempt: 1, startSends: 1, observedRunMs: 0, ...run } as MemberRun;
 }
 
-test("a unit is given up after two crashes that nothing else explains, or four of any kind", (t) => {
+test("a unit is in a crash loop after two crashes with no other suspect, or four of any kind", (t) => {
     t.false(isCrashLoop([]));
     t.false(isCrashLoop(buildCrashHistory("sole")));
     t.false(isCrashLoop(buildCrashHistory("early", "early", "early")));
@@ -51,14 +51,14 @@
     t.true(isCrashLoop(buildCrashHistory("late", "late", "late", "late")));
 });
 
-test("a unit starts apart after an early crash, and runs apart after three of any kind", (t) => {
+test("a unit starts in isolation after an early crash and runs in isolation after three of any kind", (t) => {
     t.is(computeIsolationMs([]), 0);
     t.is(computeIsolationMs(buildCrashHistory("late")), 0);
     t.is(computeIsolationMs(buildCrashHistory("early")), STARTUP_CRASH_WINDOW_MS);
     t.is(computeIsolationMs(buildCrashHistory("late", "late", "late")), Number.POSITIVE_INFINITY);
 });
 
-test("of the runs on a crashed worker those that had outlasted their starts are least to blame", (t) => {
+test("runs that outlasted their start are the weakest suspects in a worker crash", (t) => {
     const established = buildRun("a", { observedRunMs: 2_000 });
     const recent = buildRun("b");
     const unsent = buildRun("c", { startSends: 0 });
@@ -71,7 +71,7 @@
 });
 
 // Guards against a task that keeps crashing workers for as long as its job is open.
-test("a task that crashes each worker it starts on is given up", (t) => {
+test("a task that crashes each worker it starts on fails its job", (t) => {
     const cluster = buildCrashingCluster();
     cluster.submit(JOB, buildSpec({}));
     cluster.runFor(60_000);
@@ -81,7 +81,7 @@
 });
 
 // Guards against crash counts that are lost in a leader change.
-test("a task that crashes its workers is given up although each crash takes the leader along", (t) => {
+test("a task that crashes its workers fails its job even if the leader changes at each crash", (t) => {
     const cluster = buildCrashingCluster();
     cluster.submit(JOB, buildSpec({}));
     for (let seenCrashes = 0; cluster.now < 90_000; cluster.runFor(50)) {
@@ -95,7 +95,7 @@
 });
 
 // Guards against missing a crash because the lease expires before the next incarnation joins.
-test("a task that crashes its workers is given up although they return only after their leases", (t) => {
+test("a task that crashes its workers fails its job even if they return after their leases expire", (t) => {
     const cluster = buildCrashingCluster({ restartDelayMs: 14_000, workers: 10 });
     cluster.submit(JOB, buildSpec({}));
     cluster.runFor(150_000);
@@ -104,7 +104,7 @@
 });
 
 // Guards against losing a crash when the leader changes before the worker's next incarnation joins.
-test("a task that crashes its workers is given up although leaders change while they are away", (t) => {
+test("a task that crashes its workers fails its job even if leaders change while they are down", (t) => {
     for (const intervalMs of [9_300, 10_000, 12_000, 13_000]) {
         const cluster = buildCrashingCluster({ restartDelayMs: 14_000, workers: 12 });
         cluster.submit(JOB, buildSpec({}));
@@ -123,7 +123,7 @@
 });
 
 // Guards against a limit that covers only tasks that crash their workers right after the start.
-test("a task that crashes its workers late in its run is given up", (t) => {
+test("a task that crashes its workers late in its run fails its job", (t) => {
     const cluster = buildCrashingCluster({
         taskMs: 4_000,
         getCrashAfterMs: (task) => (task === CRASHING_TASK ? 2_500 : undefined),
@@ -135,7 +135,7 @@
 });
 
 // Guards against a gang that crashes one worker per member in each attempt.
-test("a gang whose members crash their workers is given up", (t) => {
+test("a gang whose members crash their workers fails its job", (t) => {
     const cluster = buildCrashingCluster({
         getCrashAfterMs: (task) => (task.startsWith(JOB) ? CRASH_DELAY_MS : undefined),
     });
@@ -146,7 +146,7 @@
 });
 
 // Guards against restarting a perpetual task forever although it crashes its workers.
-test("a lasting task that crashes each worker it starts on is given up", (t) => {
+test("a perpetual task that crashes each worker it starts on fails its job", (t) => {
     const cluster = buildCrashingCluster();
     cluster.submit(JOB, buildSpec({ isPerpetual: true }));
     cluster.runFor(60_000);
@@ -155,7 +155,7 @@
 });
 
 // Guards against failing a perpetual task because of occasional crashes over a long run.
-test("a lasting task outlives any number of crashes that come long after its starts", (t) => {
+test("a perpetual task survives any number of crashes long after its starts", (t) => {
     const cluster = new SimulatedCluster({ workers: 3, taskMs: 1e9 });
     cluster.submit(JOB, buildSpec({ isPerpetual: true }));
     for (let i = 0; i < 8; i++) {
@@ -168,7 +168,7 @@
 });
 
 // Guards against failing tasks that merely shared a worker with the crashing one.
-test("jobs beside tasks that crash their workers complete", (t) => {
+test("jobs that share workers with crashing tasks complete", (t) => {
     const crashingJobs = new Set(buildJobIds(160).filter((_id, i) => i % 20 === 7));
     const cluster = buildCrashingCluster({
         workers: 12,
@@ -190,7 +190,7 @@
 });
 
 // Guards against counting an announced shutdown as a crash of the tasks that were running there.
-test("tasks on workers that announced their end before they were replaced are not suspected", (t) => {
+test("tasks on workers that announced their shutdown are not suspected of a crash", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 30_000 });
     cluster.submit(JOB, buildSpec({}));
     for (let i = 0; i < 5; i++) {
@@ -210,7 +210,7 @@
 });
 
 // Guards against failing jobs whose workers crash for unrelated reasons.
-test("jobs on workers that crash now and then by themselves complete", (t) => {
+test("jobs complete on workers that crash occasionally for unrelated reasons", (t) => {
     const random = createRandom(5);
     const cluster = new SimulatedCluster({ workers: 12, taskMs: 1_500 });
     for (const id of buildJobIds(200)) {
@@ -230,7 +230,7 @@
 });
 
 // Guards against blaming tasks for a flapping worker, which looks idle after each restart.
-test("jobs beside workers that go down and up by turns complete", (t) => {
+test("jobs complete in a cluster with flapping workers", (t) => {
     for (const seed of [1, 2, 3, 4, 5, 6]) {
         const random = createRandom(seed);
         const cluster = new SimulatedCluster({ workers: 8, taskMs: 900, restartDelayMs: 400 });
@@ -257,7 +257,7 @@
 });
 
 // Guards against a limit that fails when crashes combine with lost orders and leader changes.
-test("beside other faults a task that crashes its workers is started within bounds, and others end", (t) => {
+test("starts of crashing tasks stay limited under other faults, and all other jobs complete", (t) => {
     const property = fc.property(fc.integer({ min: 1, max: 1_000_000 }), (seed) => {
         const random = createRandom(seed);
         const ids = buildJobIds(60);
--- a/dispatch/deployments_test.ts
+++ b/dispatch/deployments_test.ts
@@ -9,7 +9,7 @@
     return cluster.runs.filter((run) => run.task.startsWith(job)).map((run) => run.worker);
 }
 
-test("tasks with accelerators go where some are free, one each", (t) => {
+test("tasks that need an accelerator run only on workers with a free one", (t) => {
     // Guards against placement that considers processors alone.
     const cluster = new SimulatedCluster({
         workers: 4,
@@ -25,7 +25,7 @@
     t.is(cluster.getJobState(JOB), "complete");
 });
 
-test("a step that needs a label waits for the workers that carry it", (t) => {
+test("a step that requires a label runs only on workers that have it", (t) => {
     const cluster = new SimulatedCluster({
         workers: 3,
         getWorkerOverrides: (n) => ({ labels: [n === 2 ? "special" : "a", "r1"] }),
@@ -36,7 +36,7 @@
     t.is(cluster.getJobState(JOB), "complete");
 });
 
-test("a gang that works fast within a rack waits for no other rack while one has room", (t) => {
+test("a rack-local gang is placed on one rack when it has the capacity", (t) => {
     const cluster = new SimulatedCluster({
         workers: 4,
         getWorkerOverrides: (n) => ({ labels: ["a", n % 2 === 0 ? "even" : "odd"] }),
@@ -48,7 +48,7 @@
     t.is(racks.size, 1);
 });
 
-test("no more of a step run on one worker than it allows, also over attempts", (t) => {
+test("a step's limit of tasks per worker also holds across attempts", (t) => {
     const cluster = new SimulatedCluster({
         workers: 2,
         taskMs: 400,
@@ -63,7 +63,7 @@
     }
 });
 
-test("a worker that guards itself and refuses costs no attempt of the job's budget", (t) => {
+test("a start refused for lack of capacity does not count as a failed attempt", (t) => {
     // Guards against counting a worker's capacity refusals as failed attempts, and against
     // retrying them in a tight loop.
     let refusals = 0;
@@ -86,7 +86,7 @@
 });
 
 // Guards against frequent retries of a start that no worker can parse.
-test("a start that workers refuse as unreadable is repeated seldom, and other jobs go on", (t) => {
+test("a start that workers reject as invalid is retried at a limited rate, and other jobs proceed", (t) => {
     let refusals = 0;
     const cluster = new SimulatedCluster({ workers: 3, taskMs: 300 });
     for (const worker of cluster.workers.values()) {
@@ -106,7 +106,7 @@
     t.true(refusals <= 30, `${refusals} refusals`);
 });
 
-test("occurrences that overlap run side by side, each once", (t) => {
+test("overlapping occurrences run concurrently, each exactly once", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 1_500 });
     const spec = buildSpec({ count: 2 });
     cluster.submit(JOB, { ...spec, repeats: 3, firstAtMs: 500, periodMs: 500 });
@@ -116,7 +116,7 @@
     t.is(cluster.runs.length, 6);
 });
 
-test("a task that lasts is back within seconds of its worker's death, beside batch work", (t) => {
+test("a perpetual task restarts within seconds of its worker's death in a full cluster", (t) => {
     // The cluster is full of batch tasks: the perpetual task must get the next free capacity.
     const cluster = new SimulatedCluster({
         workers: 3,
--- a/dispatch/dispatcher_test.ts
+++ b/dispatch/dispatcher_test.ts
@@ -27,7 +27,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("a worker's room is never given twice, also while tasks are being stopped", (t) => {
+test("a worker's capacity is never allocated twice, even while tasks are being stopped", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 600 });
     for (let i = 0; i < 40; i++) {
         cluster.submit(
@@ -43,7 +43,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("a start that is carried out late does not run beside its repetition", (t) => {
+test("a delayed start does not run in addition to its retry", (t) => {
     // Guards against a delayed start that bypasses the fence and runs a completed task again.
     let sent = 0;
     const cluster = new SimulatedCluster({
@@ -62,7 +62,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("a dead worker's tasks start elsewhere only after its lease is over", (t) => {
+test("a dead worker's tasks restart elsewhere only after its lease expires", (t) => {
     // A silent worker may be partitioned and still running: its lease must expire by its own
     // clock, which may be slow, before a task is restarted.
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 2_000, clockDrift: 0.02 });
@@ -78,7 +78,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("a dead worker whose address refuses connections loses its tasks and its work", (t) => {
+test("a dead worker whose address refuses connections loses its tasks and gets no new ones", (t) => {
     // Guards against treating a refused connection as an answer, which would renew the lease and
     // keep the dead worker eligible for placement.
     let isDead = false;
@@ -102,7 +102,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("a new leader learns from the workers what runs and starts nothing twice", (t) => {
+test("a new leader learns the running tasks from the workers and starts nothing twice", (t) => {
     const cluster = new SimulatedCluster({ workers: 3, taskMs: 1_000 });
     cluster.submit(JOB, buildSpec({ count: 6 }));
     cluster.runFor(300);
@@ -113,7 +113,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("a gang starts whole, and one member's loss ends the attempt", (t) => {
+test("a gang starts all members together, and losing one member ends the attempt", (t) => {
     const cluster = new SimulatedCluster({ workers: 4, taskMs: 800 });
     const needs = { cpu: 9_000, memoryMb: 1_000, gpu: 0 };
     cluster.submit(JOB, buildSpec({ count: 3, isGang: true, needs }));
@@ -127,7 +127,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("a task that fails as often as its queue allows fails its job", (t) => {
+test("a task that uses up its attempts fails its job", (t) => {
     const cluster = new SimulatedCluster({ workers: 4, getEnd: () => "failed" });
     cluster.submit(JOB, buildSpec({ count: 1 }));
     cluster.runFor(10_000);
@@ -135,7 +135,7 @@
     t.is(cluster.runs.length, 3);
 });
 
-test("a worker that fails everything does not draw all work", (t) => {
+test("a worker that fails every task does not attract all work", (t) => {
     // Guards against a worker that fails every task quickly and attracts work by looking idle.
     const failingWorker = "w1" as WorkerId;
     const cluster = new SimulatedCluster({
@@ -189,7 +189,7 @@
     t.true(cluster.runs.every((run) => run.worker === "w2" || run.worker === "w5"));
 });
 
-test("a call whose front is gone is made over another", (t) => {
+test("an advice call is routed through another front when its own is gone", (t) => {
     const queue = buildQueue({ advice: { decideMs: 50, perWorkerMs: 1, validMs: 2_000 } });
     const cluster = new SimulatedCluster({ workers: 2, queues: [queue] });
     cluster.dispatcher.setLanes([]);
@@ -201,7 +201,7 @@
     t.is(cluster.getJobState(JOB), "complete");
 });
 
-test("fillers pause while a serving task beside them misses its target", (t) => {
+test("filler tasks pause while a serving task on the same worker misses its latency target", (t) => {
     // The serving task misses its latency target from 2 s to 6 s; the filler must pause promptly
     // and resume only once the tail latency has stayed low for some seconds.
     let now = 0;
@@ -220,7 +220,7 @@
     t.true((cluster.paceOrders[1]?.atMs ?? 0) > 8_500);
 });
 
-test("a perpetual task is started again however it ends", (t) => {
+test("a perpetual task is restarted however it ends", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 300, getEnd: () => "failed" });
     cluster.submit(JOB, buildSpec({ count: 1, isPerpetual: true }));
     cluster.runFor(12_000);
@@ -231,7 +231,7 @@
     t.is(cluster.getJobState(JOB), "cancelled");
 });
 
-test("occurrences start when they are due, also through a new leader", (t) => {
+test("occurrences start when they are due, even across a leader change", (t) => {
     const cluster = new SimulatedCluster({ workers: 2 });
     const spec = { ...buildSpec({ count: 1 }), repeats: 4, firstAtMs: 1_000, periodMs: 2_000 };
     cluster.submit(JOB, spec);
@@ -249,7 +249,7 @@
 });
 
 for (const seed of [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12]) {
-    test(`random faults break no promise (seed ${seed})`, (t) => {
+    test(`invariants hold under random faults (seed ${seed})`, (t) => {
         // Orders are lost or delayed, one worker is replaced at its address, and the leader
         // changes twice.
         const random = createRandom(seed);
@@ -294,7 +294,7 @@
     });
 }
 
-test("a worker that fails everything does not use up the attempts of one wide job", (t) => {
+test("a worker that fails every task does not use up the attempts of one wide job", (t) => {
     // Guards against retrying tasks on a worker that fails quickly and so always has free capacity.
     const failingWorker = "w1" as WorkerId;
     const cluster = new SimulatedCluster({
@@ -311,7 +311,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("a new leader looks first at the workers on which jobs wait", (t) => {
+test("a new leader looks first at the workers with running tasks", (t) => {
     // Guards against delaying task completions that were reported during a leader change.
     const cluster = new SimulatedCluster({ workers: 30, taskMs: 5_000 });
     cluster.runFor(300);
--- a/dispatch/workload_simulation_test.ts
+++ b/dispatch/workload_simulation_test.ts
@@ -6,7 +6,7 @@
 
 for (const seed of [1, 2, 3]) {
     // Guards against invariants that hold on small clusters but break under sustained load.
-    test(`a full floor keeps its promises while tasks crash workers and rooms change (seed ${seed})`, (t) => {
+    test(`invariants hold under sustained load with worker crashes and capacity changes (seed ${seed})`, (t) => {
         const faultRates = {
             crashingJobFraction: 0.02,
             crashesPerSecond: 0.2,
