--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -156,7 +156,7 @@
             listSeeds: options.listSeeds,
         });
         this.#clockJumpDetector = new ClockJumpDetector(() =>
-            this.#member?.replica.distrustClock(),
+            this.#member?.replica.invalidateLease(),
         );
     }
 
@@ -224,8 +224,8 @@
             listContacts: () => this.#router.listMembers() as EntryId[],
             startedAt: this.#options.processStartedAtMs,
             snapshotEvery: this.#options.batchesPerSnapshot ?? DEFAULT_BATCHES_PER_SNAPSHOT,
-            onLead: () => this.#startLeading(),
-            onResign: (cause) => this.#stopLeading(cause),
+            onLeadershipGained: () => this.#startLeading(),
+            onLeadershipLost: (cause) => this.#stopLeading(cause),
             log: this.#options.log,
         });
         this.#member.start();
--- a/entry/zone_group.ts
+++ b/entry/zone_group.ts
@@ -155,8 +155,8 @@
             },
             completeBatch: (inputs) => this.#createBatchTick(inputs),
             onApplied: () => this.#handleEffects(this.cell.takeEffects()),
-            onLead: () => this.#startLeading(),
-            onResign: () => this.#stopLeading(),
+            onLeadershipGained: () => this.#startLeading(),
+            onLeadershipLost: () => this.#stopLeading(),
             onPersisted: (tookMs) => options.metrics.logSyncSeconds.observe(tookMs / 1_000),
         });
     }
--- a/group/group_member.ts
+++ b/group/group_member.ts
@@ -79,7 +79,7 @@
                     ? new MemoryStorage()
                     : FileStorage.open({
                           dir: join(options.dataDir, options.group.id),
-                          firstVoters,
+                          initialVoters: firstVoters,
                       }),
             transport: options.network.createTransport(
                 options.group.id,
@@ -255,8 +255,8 @@
     #removeSilentLearners(): void {
         for (const learner of this.#replica.listLearners()) {
             if (
-                learner.ackedAt !== Number.NEGATIVE_INFINITY &&
-                performance.now() - learner.ackedAt > LEARNER_SILENCE_MS
+                learner.ackedAtMs !== Number.NEGATIVE_INFINITY &&
+                performance.now() - learner.ackedAtMs > LEARNER_SILENCE_MS
             ) {
                 this.#replica.removeLearner(learner.member);
             }
--- a/log/_barriers.ts
+++ b/log/_apply_waiters.ts
@@ -3,7 +3,7 @@
  *
  * @example
  * ```ts
- * import { Barriers } from "./_barriers.ts";
+ * import { Barriers } from "./_apply_waiters.ts";
  * const barriers = new Barriers();
  * const passed = barriers.add(17);
  * barriers.release(17);
@@ -12,14 +12,14 @@
  * @module
  */
 
-interface Barrier {
+interface Waiter {
     readonly index: number;
     readonly resolve: () => void;
 }
 
 /** Those who wait for indexes. */
-export class Barriers {
-    #waiting: Barrier[] = [];
+export class ApplyWaiters {
+    #waiters: Waiter[] = [];
 
     /**
      * Waits for an index.
@@ -27,8 +27,8 @@
      * @param index The index.
      * @returns Once it is applied, or the lead is over.
      */
-    add(index: number): Promise<void> {
-        return new Promise((resolve) => this.#waiting.push({ index, resolve }));
+    waitFor(index: number): Promise<void> {
+        return new Promise((resolve) => this.#waiters.push({ index, resolve }));
     }
 
     /**
@@ -36,9 +36,9 @@
      *
      * @param appliedIndex The last applied index; infinity when the lead is over.
      */
-    release(appliedIndex: number): void {
-        const passed = this.#waiting.filter(({ index }) => index <= appliedIndex);
-        this.#waiting = this.#waiting.filter(({ index }) => index > appliedIndex);
-        passed.forEach(({ resolve }) => resolve());
+    resolveUpTo(appliedIndex: number): void {
+        const due = this.#waiters.filter(({ index }) => index <= appliedIndex);
+        this.#waiters = this.#waiters.filter(({ index }) => index > appliedIndex);
+        due.forEach(({ resolve }) => resolve());
     }
 }
--- a/log/_fixtures.ts
+++ b/log/_fixtures.ts
@@ -17,7 +17,7 @@
 import type { GroupMessage, HardState, LogEntry, MemberId, StoredState } from "./types.ts";
 
 interface Disk {
-    hard: HardState;
+    hardState: HardState;
     entries: LogEntry[];
 }
 
@@ -29,7 +29,7 @@
 
 /** Options of {@link GroupFixture}. */
 export interface GroupFixtureOptions {
-    readonly members: number;
+    readonly memberCount: number;
     readonly seed: number;
 }
 
@@ -39,24 +39,24 @@
     readonly nodes = new Map<MemberId, Consensus>();
     readonly disks = new Map<MemberId, Disk>();
     readonly #initialVoters: readonly MemberId[];
-    readonly #cut = new Set<string>();
+    readonly #cutLinks = new Set<string>();
     #queue: InFlight[] = [];
     #random: () => number;
     now = 0;
     /** Every committed entry seen anywhere, by index; a second, different one is a violation. */
     readonly committed = new Map<number, LogEntry>();
     readonly violations: string[] = [];
-    readonly #leaders = new Map<number, MemberId>();
+    readonly #leaderByTerm = new Map<number, MemberId>();
 
     /**
      * @param options How many members, and the seed of the election timeouts.
      */
     constructor(options: GroupFixtureOptions) {
         this.#random = createRandom(options.seed);
-        this.ids = Array.from({ length: options.members }, (_, i) => `m${i + 1}.0` as MemberId);
+        this.ids = Array.from({ length: options.memberCount }, (_, i) => `m${i + 1}.0` as MemberId);
         this.#initialVoters = [...this.ids];
         for (const id of this.ids) {
-            this.disks.set(id, { hard: { term: 0, votedFor: undefined }, entries: [] });
+            this.disks.set(id, { hardState: { term: 0, votedFor: undefined }, entries: [] });
             this.startMember(id);
         }
     }
@@ -65,7 +65,7 @@
     startMember(id: MemberId): void {
         const disk = this.disks.get(id) as Disk;
         const stored: StoredState = {
-            hard: disk.hard,
+            hardState: disk.hardState,
             snapshot: undefined,
             entries: [...disk.entries],
         };
@@ -82,7 +82,7 @@
     }
 
     /** Kills a member; what it did not persist is lost. */
-    stopMember(id: MemberId): void {
+    crashMember(id: MemberId): void {
         this.nodes.delete(id);
         this.#queue = this.#queue.filter((m) => m.to !== id);
     }
@@ -91,9 +91,9 @@
     setLink(a: MemberId, b: MemberId, isUp: boolean): void {
         for (const key of [`${a}|${b}`, `${b}|${a}`]) {
             if (isUp) {
-                this.#cut.delete(key);
+                this.#cutLinks.delete(key);
             } else {
-                this.#cut.add(key);
+                this.#cutLinks.add(key);
             }
         }
     }
@@ -108,8 +108,8 @@
     }
 
     /** Heals every link. */
-    removeCuts(): void {
-        this.#cut.clear();
+    restoreLinks(): void {
+        this.#cutLinks.clear();
     }
 
     /** Persists, sends and checks what a member has ready. */
@@ -121,25 +121,25 @@
         }
         while (node.hasReady) {
             const ready = node.takeReady();
-            this.#sendAll(id, ready.sendNow);
+            this.#sendAll(id, ready.messagesBeforePersist);
             for (const entry of ready.entries) {
                 disk.entries.length = Math.min(disk.entries.length, entry.index - 1);
                 disk.entries.push(entry);
             }
-            disk.hard = ready.hard ?? disk.hard;
+            disk.hardState = ready.hardState ?? disk.hardState;
             const last = ready.entries.at(-1);
             if (last !== undefined) {
                 node.confirmPersisted(last.index, last.term);
             }
-            this.#sendAll(id, ready.sendAfter);
+            this.#sendAll(id, ready.messagesAfterPersist);
         }
-        this.#checkMember(id, node);
+        this.#checkInvariants(id, node);
     }
 
     /** Delivers one message, chosen by position in the queue, or loses it. */
     handleMessage(position: number, isLost: boolean): void {
         const [item] = this.#queue.splice(position % Math.max(1, this.#queue.length), 1);
-        if (item === undefined || isLost || this.#cut.has(`${item.from}|${item.to}`)) {
+        if (item === undefined || isLost || this.#cutLinks.has(`${item.from}|${item.to}`)) {
             return;
         }
         this.nodes.get(item.to)?.receive(item.from, item.message, this.now);
@@ -159,9 +159,13 @@
 
     /** Runs for a time with every message delivered in order. */
     runFor(ms: number, frozen?: MemberId): void {
-        for (let spent = 0; spent < ms; spent += 50) {
+        for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += 50) {
             this.advance(50, frozen);
-            for (let left = this.#queue.length * 20; left > 0 && this.#queue.length > 0; left--) {
+            for (
+                let remaining = this.#queue.length * 20;
+                remaining > 0 && this.#queue.length > 0;
+                remaining--
+            ) {
                 if (this.#queue[0]?.to === frozen) {
                     this.#queue.shift();
                 } else {
@@ -183,23 +187,23 @@
         return index;
     }
 
-    #sendAll(from: MemberId, outgoing: readonly { to: MemberId; message: GroupMessage }[]): void {
-        for (const { to, message } of outgoing) {
+    #sendAll(from: MemberId, messages: readonly { to: MemberId; message: GroupMessage }[]): void {
+        for (const { to, message } of messages) {
             this.#queue.push({ from, to, message: structuredClone(message) });
         }
     }
 
-    #checkMember(id: MemberId, node: Consensus): void {
+    #checkInvariants(id: MemberId, node: Consensus): void {
         if (node.role === "leader") {
-            const other = this.#leaders.get(node.term);
+            const other = this.#leaderByTerm.get(node.term);
             if (other !== undefined && other !== id) {
                 this.violations.push(`term ${node.term} has two leaders: ${other}, ${id}`);
             }
-            this.#leaders.set(node.term, id);
+            this.#leaderByTerm.set(node.term, id);
         }
-        const leased = this.ids.filter((m) => this.nodes.get(m)?.hasLease(this.now));
-        if (leased.length > 1) {
-            this.violations.push(`two leaders hold a lease: ${leased.join(", ")}`);
+        const leaseHolders = this.ids.filter((m) => this.nodes.get(m)?.hasLease(this.now));
+        if (leaseHolders.length > 1) {
+            this.violations.push(`two leaders hold a lease: ${leaseHolders.join(", ")}`);
         }
         for (const entry of node.listCommitted(0)) {
             const seen = this.committed.get(entry.index);
--- a/log/_followers.ts
+++ b/log/_followers.ts
@@ -15,24 +15,24 @@
 import type { MemberId } from "./types.ts";
 
 /** What the leader knows of one other member. */
-export interface Progress {
+export interface FollowerProgress {
     nextIndex: number;
     matchIndex: number;
     /** When the newest message that this member answered was sent. */
-    ackedSentAt: number;
+    ackedSentAtMs: number;
     /** The index sent up to and not yet answered; avoids resending the same entries. */
-    inFlightUntil: number;
-    lastSentAt: number;
+    inFlightIndex: number;
+    lastSentAtMs: number;
     /** The commit index it was told last. */
-    toldCommit: number;
+    sentCommitIndex: number;
     /** When a snapshot left that was not answered yet; 0 when none is on its way. */
-    snapshotSentAt: number;
+    snapshotSentAtMs: number;
 }
 
 /** The members that a leader sends its log to, voters and learners. */
 export class Followers {
     readonly #self: MemberId;
-    readonly #progress = new Map<MemberId, Progress>();
+    readonly #progress = new Map<MemberId, FollowerProgress>();
 
     /**
      * @param self The leader.
@@ -42,7 +42,7 @@
     }
 
     /** Every member and what is known of it. */
-    get entries(): IterableIterator<[MemberId, Progress]> {
+    get entries(): IterableIterator<[MemberId, FollowerProgress]> {
         return this.#progress.entries();
     }
 
@@ -60,11 +60,11 @@
         this.#progress.set(member, {
             nextIndex,
             matchIndex: 0,
-            ackedSentAt: Number.NEGATIVE_INFINITY,
-            inFlightUntil: 0,
-            lastSentAt: Number.NEGATIVE_INFINITY,
-            toldCommit: 0,
-            snapshotSentAt: 0,
+            ackedSentAtMs: Number.NEGATIVE_INFINITY,
+            inFlightIndex: 0,
+            lastSentAtMs: Number.NEGATIVE_INFINITY,
+            sentCommitIndex: 0,
+            snapshotSentAtMs: 0,
         });
         return true;
     }
@@ -75,7 +75,7 @@
      * @param member The member.
      * @returns Its progress, or `undefined` when nothing is sent to it.
      */
-    find(member: MemberId): Progress | undefined {
+    find(member: MemberId): FollowerProgress | undefined {
         return this.#progress.get(member);
     }
 
@@ -94,9 +94,9 @@
     }
 
     /** Takes all answers so far for too old to tell anything about now. */
-    distrustAnswers(): void {
+    invalidateAcks(): void {
         for (const progress of this.#progress.values()) {
-            progress.ackedSentAt = Number.NEGATIVE_INFINITY;
+            progress.ackedSentAtMs = Number.NEGATIVE_INFINITY;
         }
     }
 
@@ -121,28 +121,28 @@
      * @param now The time in ms.
      * @returns The time in ms; minus infinity when no quorum ever answered.
      */
-    computeQuorumContact(voters: readonly MemberId[], now: number): number {
-        const contacts = voters.map((voter) =>
+    computeQuorumAckTimeMs(voters: readonly MemberId[], now: number): number {
+        const ackTimesMs = voters.map((voter) =>
             voter === this.#self
                 ? now
-                : (this.find(voter)?.ackedSentAt ?? Number.NEGATIVE_INFINITY),
+                : (this.find(voter)?.ackedSentAtMs ?? Number.NEGATIVE_INFINITY),
         );
-        return selectQuorumValue(contacts) ?? Number.NEGATIVE_INFINITY;
+        return selectQuorumValue(ackTimesMs) ?? Number.NEGATIVE_INFINITY;
     }
 }
 
 /**
  * Gives the size of a majority.
  *
- * @param voters How many voters there are.
+ * @param voterCount How many voters there are.
  * @returns The smallest majority.
  */
-export function computeQuorum(voters: number): number {
-    return Math.floor(voters / 2) + 1;
+export function computeQuorumSize(voterCount: number): number {
+    return Math.floor(voterCount / 2) + 1;
 }
 
 /** The largest value that a quorum reaches or exceeds. */
 function selectQuorumValue(values: readonly number[]): number | undefined {
     const descending = [...values].sort((a, b) => b - a);
-    return descending[computeQuorum(descending.length) - 1];
+    return descending[computeQuorumSize(descending.length) - 1];
 }
--- a/log/consensus.ts
+++ b/log/consensus.ts
@@ -16,7 +16,7 @@
  */
 
 import { applyChartEvent, loadChart } from "../chart/mod.ts";
-import { computeQuorum, Followers } from "./_followers.ts";
+import { computeQuorumSize, Followers } from "./_followers.ts";
 import { EntryLog } from "./entry_log.ts";
 import type {
     AppendRequest,
@@ -25,7 +25,7 @@
     HardState,
     LogEntry,
     MemberId,
-    Outgoing,
+    OutgoingMessage,
     Snapshot,
     SnapshotRequest,
     StoredState,
@@ -41,10 +41,10 @@
  * Members learn a commit with the next message, or after this many ms without one: rules come into
  * force and waiting callers are woken by replicas, which would otherwise lag by a heartbeat.
  */
-const COMMIT_NOTICE_MS = 20;
+const COMMIT_NOTIFY_DELAY_MS = 20;
 const SNAPSHOT_RESEND_MS = 5_000;
 /** Entries kept in memory behind a snapshot, so a member slightly behind needs no snapshot. */
-const KEPT_BEHIND_SNAPSHOT = 512;
+const SNAPSHOT_TRAILING_ENTRIES = 512;
 
 /**
  * Why a member led no more: a higher term came up, no quorum answered, it asked another to lead, or it votes no
@@ -89,21 +89,21 @@
      * When this member's process started, on the same clock; `now` by default. It answered no leader
      * between the end of the process before and this time.
      */
-    readonly startedAt?: number;
+    readonly startedAtMs?: number;
 }
 
 /** What the caller must do: persist, then confirm; send; apply. */
 export interface Ready {
     /** Messages that may leave before anything is persisted (a leader's appends). */
-    readonly sendNow: readonly Outgoing[];
+    readonly messagesBeforePersist: readonly OutgoingMessage[];
     /** Entries to persist, in order. */
     readonly entries: readonly LogEntry[];
     /** The hard state to persist, when it changed. */
-    readonly hard: HardState | undefined;
+    readonly hardState: HardState | undefined;
     /** A snapshot received from the leader: install it in place of all state. */
-    readonly install: Snapshot | undefined;
+    readonly snapshotToInstall: Snapshot | undefined;
     /** Messages that may leave only after the entries and the hard state are durable. */
-    readonly sendAfter: readonly Outgoing[];
+    readonly messagesAfterPersist: readonly OutgoingMessage[];
 }
 
 /** One member's side of the agreement. */
@@ -121,24 +121,24 @@
     #commitIndex: number;
     #persistedIndex: number;
     #unpersisted: LogEntry[] = [];
-    #hardChanged = false;
-    #install: Snapshot | undefined;
-    #sendNow: Outgoing[] = [];
-    #sendAfter: Outgoing[] = [];
+    #isHardStateChanged = false;
+    #snapshotToInstall: Snapshot | undefined;
+    #messagesBeforePersist: OutgoingMessage[] = [];
+    #messagesAfterPersist: OutgoingMessage[] = [];
     #now: number;
-    #electionAt = 0;
-    #heardLeaderAt = Number.NEGATIVE_INFINITY;
-    #votes = new Set<MemberId>();
-    #ledSince = 0;
+    #electionDeadlineMs = 0;
+    #lastLeaderContactMs = Number.NEGATIVE_INFINITY;
+    #grantedVotes = new Set<MemberId>();
+    #quorumWaitStartMs = 0;
     readonly #followers: Followers;
     #termStartIndex = 0;
     /** When it asked another member to lead: its lease is over, whatever the clock says. */
-    #transferAt: number | undefined;
+    #transferStartMs: number | undefined;
     #resignCause: ResignCause = "higher_term";
     /** Answers to what was sent before this time do not count for the lease. */
-    #trustedFrom = Number.NEGATIVE_INFINITY;
+    #acksValidFromMs = Number.NEGATIVE_INFINITY;
     /** The snapshot to send to members that are far behind; kept by the caller. */
-    snapshotForPeers: (() => Snapshot | undefined) | undefined;
+    buildSnapshot: (() => Snapshot | undefined) | undefined;
 
     /**
      * @param options Identity, what the storage held, timings; see {@link ConsensusOptions}.
@@ -149,10 +149,10 @@
         this.#timings = options.timings ?? DEFAULT_TIMINGS;
         this.#random = options.random;
         this.#now = options.now;
-        const { firstVoters, hard, snapshot, entries } = options.stored;
-        this.#term = hard.term;
-        this.#votedFor = hard.votedFor;
-        const voters = snapshot?.voters ?? firstVoters ?? options.initialVoters ?? [];
+        const { initialVoters, hardState, snapshot, entries } = options.stored;
+        this.#term = hardState.term;
+        this.#votedFor = hardState.votedFor;
+        const voters = snapshot?.voters ?? initialVoters ?? options.initialVoters ?? [];
         const { index, term } = snapshot ?? { index: 0, term: 0 };
         this.#log = new EntryLog({ index, term, voters, entries });
         this.#voters = voters;
@@ -162,8 +162,8 @@
         // A restarted member may have answered a leader moments before its process ended: it keeps that
         // leader's lease by refusing votes for one election timeout, as if it had heard from it when this
         // process started. Counted from now, the time that the start took would lengthen each outage.
-        if (hard.term > 0) {
-            this.#heardLeaderAt = options.startedAt ?? options.now;
+        if (hardState.term > 0) {
+            this.#lastLeaderContactMs = options.startedAtMs ?? options.now;
         }
         this.#updateVoters();
         this.#setElectionDeadline();
@@ -181,8 +181,8 @@
     }
 
     /** Whether this member asked another one to lead: its lease cannot come back. */
-    get isHandingOver(): boolean {
-        return this.#transferAt !== undefined;
+    get isTransferringLeadership(): boolean {
+        return this.#transferStartMs !== undefined;
     }
 
     /** Why this member's last lead ended. */
@@ -195,7 +195,7 @@
         if (this.#role !== "pre_candidate" && this.#role !== "candidate") {
             return undefined;
         }
-        const granted = this.#voters.filter((voter) => this.#votes.has(voter)).length;
+        const granted = this.#voters.filter((voter) => this.#grantedVotes.has(voter)).length;
         return { voters: this.#voters.length, granted, lastIndex: this.lastIndex };
     }
 
@@ -225,7 +225,7 @@
     }
 
     /** The hard state as it stands. */
-    get hard(): HardState {
+    get hardState(): HardState {
         return { term: this.#term, votedFor: this.#votedFor };
     }
 
@@ -250,10 +250,10 @@
     hasLease(now: number): boolean {
         return (
             this.#role === "leader" &&
-            this.#transferAt === undefined &&
+            this.#transferStartMs === undefined &&
             this.#commitIndex >= this.#termStartIndex &&
-            now - this.#followers.computeQuorumContact(this.#voters, now) <
-                this.#timings.electionMs * LEASE_SHARE
+            now - this.#followers.computeQuorumAckTimeMs(this.#voters, now) <
+                this.#timings.electionMs * LEASE_FRACTION
         );
     }
 
@@ -264,10 +264,10 @@
      *
      * @param now The time in ms.
      */
-    distrustClock(now: number): void {
-        this.#trustedFrom = now;
-        this.#followers.distrustAnswers();
-        this.#ledSince = now;
+    invalidateLease(now: number): void {
+        this.#acksValidFromMs = now;
+        this.#followers.invalidateAcks();
+        this.#quorumWaitStartMs = now;
     }
 
     /**
@@ -279,7 +279,7 @@
         this.#now = now;
         if (this.#role === "leader") {
             this.#tickLeader(now);
-        } else if (this.#role !== "learner" && now >= this.#electionAt) {
+        } else if (this.#role !== "learner" && now >= this.#electionDeadlineMs) {
             this.#startPreVote();
         }
     }
@@ -327,7 +327,7 @@
         if (this.#role !== "leader") {
             return undefined;
         }
-        return this.#appendOwn({ type: "commands", commands });
+        return this.#appendEntry({ type: "commands", commands });
     }
 
     /**
@@ -348,11 +348,11 @@
             added.length + removed.length !== 1 ||
             this.#votersIndex > this.#commitIndex ||
             this.#commitIndex < this.#termStartIndex ||
-            !this.#hasQuorumOf(voters)
+            !this.#hasActiveQuorum(voters)
         ) {
             return undefined;
         }
-        const index = this.#appendOwn({ type: "voters", voters });
+        const index = this.#appendEntry({ type: "voters", voters });
         this.#updateVoters();
         return index;
     }
@@ -361,7 +361,7 @@
      * Asks the voter that holds the most of the log to lead instead, if this member leads. Its
      * followers would otherwise miss the leader for a whole election timeout.
      */
-    resignTo(): void {
+    startLeadershipTransfer(): void {
         const target = this.#voters
             .filter((v) => v !== this.#self && this.#followers.find(v) !== undefined)
             .sort((a, b) => (this.getMatchIndex(b) ?? 0) - (this.getMatchIndex(a) ?? 0))[0];
@@ -369,13 +369,13 @@
             return;
         }
         // From here on the other may be elected at any time: no answer may rest on this lease.
-        this.#transferAt = this.#now;
+        this.#transferStartMs = this.#now;
         const message: TransferRequest = {
             type: "transfer",
             term: this.#term,
             sentAt: this.#now,
         };
-        this.#sendNow.push({ to: target, message });
+        this.#messagesBeforePersist.push({ to: target, message });
     }
 
     /**
@@ -415,18 +415,18 @@
      *
      * @returns Each learner and when it last answered.
      */
-    listLearners(): { readonly member: MemberId; readonly ackedAt: number }[] {
+    listLearners(): { readonly member: MemberId; readonly ackedAtMs: number }[] {
         return [...this.#followers.entries]
             .filter(([member]) => !this.#voters.includes(member))
-            .map(([member, p]) => ({ member, ackedAt: p.ackedSentAt }));
+            .map(([member, p]) => ({ member, ackedAtMs: p.ackedSentAtMs }));
     }
 
     /** Forgets outgoing messages that could not be delivered to a member, so they are resent. */
     handleUndelivered(member: MemberId): void {
         const progress = this.#followers.find(member);
         if (progress !== undefined) {
-            progress.inFlightUntil = 0;
-            progress.snapshotSentAt = 0;
+            progress.inFlightIndex = 0;
+            progress.snapshotSentAtMs = 0;
         }
     }
 
@@ -437,17 +437,17 @@
      */
     takeReady(): Ready {
         const ready: Ready = {
-            sendNow: this.#sendNow,
+            messagesBeforePersist: this.#messagesBeforePersist,
             entries: this.#unpersisted,
-            hard: this.#hardChanged ? this.hard : undefined,
-            install: this.#install,
-            sendAfter: this.#sendAfter,
+            hardState: this.#isHardStateChanged ? this.hardState : undefined,
+            snapshotToInstall: this.#snapshotToInstall,
+            messagesAfterPersist: this.#messagesAfterPersist,
         };
-        this.#sendNow = [];
+        this.#messagesBeforePersist = [];
         this.#unpersisted = [];
-        this.#hardChanged = false;
-        this.#install = undefined;
-        this.#sendAfter = [];
+        this.#isHardStateChanged = false;
+        this.#snapshotToInstall = undefined;
+        this.#messagesAfterPersist = [];
         return ready;
     }
 
@@ -456,20 +456,20 @@
      *
      * @returns The messages.
      */
-    takeSendNow(): readonly Outgoing[] {
-        const messages = this.#sendNow;
-        this.#sendNow = [];
+    takeMessagesBeforePersist(): readonly OutgoingMessage[] {
+        const messages = this.#messagesBeforePersist;
+        this.#messagesBeforePersist = [];
         return messages;
     }
 
     /** Whether {@link takeReady} would give anything. */
     get hasReady(): boolean {
         return (
-            this.#sendNow.length > 0 ||
+            this.#messagesBeforePersist.length > 0 ||
             this.#unpersisted.length > 0 ||
-            this.#hardChanged ||
-            this.#install !== undefined ||
-            this.#sendAfter.length > 0
+            this.#isHardStateChanged ||
+            this.#snapshotToInstall !== undefined ||
+            this.#messagesAfterPersist.length > 0
         );
     }
 
@@ -494,9 +494,9 @@
      * @returns The entries after the snapshot.
      */
     compact(index: number): LogEntry[] {
-        const rest = this.#log.listBetween(index, this.lastIndex);
-        this.#log.compact(index - KEPT_BEHIND_SNAPSHOT);
-        return rest;
+        const remainingEntries = this.#log.listBetween(index, this.lastIndex);
+        this.#log.compact(index - SNAPSHOT_TRAILING_ENTRIES);
+        return remainingEntries;
     }
 
     /**
@@ -505,7 +505,7 @@
      * @param index An index that is committed and not yet dropped.
      * @returns The entry's term and the voters as of it.
      */
-    describeAt(index: number): { term: number; voters: readonly MemberId[] } {
+    getSnapshotMetadata(index: number): { term: number; voters: readonly MemberId[] } {
         return {
             term: this.#log.getTermAt(index) ?? this.#log.getTermAt(this.baseIndex) ?? 0,
             voters: this.#log.findVotersAt(index).voters,
@@ -513,23 +513,25 @@
     }
 
     #tickLeader(now: number): void {
-        const unheardFor = now - this.#followers.computeQuorumContact(this.#voters, now);
+        const quorumSilenceMs = now - this.#followers.computeQuorumAckTimeMs(this.#voters, now);
         // The request to lead may be lost or late. The lease cannot come back (the other may still
         // campaign on it), so this member follows, and somebody is elected the ordinary way.
-        const isOverdue = now - (this.#transferAt ?? now) > this.#timings.electionMs;
+        const isTransferOverdue = now - (this.#transferStartMs ?? now) > this.#timings.electionMs;
         const hasLostQuorum =
-            unheardFor > this.#timings.electionMs &&
-            now - this.#ledSince > this.#timings.electionMs;
-        if (isOverdue || hasLostQuorum) {
-            this.#resign(isOverdue ? "transfer" : "lose_quorum");
+            quorumSilenceMs > this.#timings.electionMs &&
+            now - this.#quorumWaitStartMs > this.#timings.electionMs;
+        if (isTransferOverdue || hasLostQuorum) {
+            this.#resign(isTransferOverdue ? "transfer" : "lose_quorum");
             return;
         }
         for (const [member, progress] of this.#followers.entries) {
-            const silentFor = now - progress.lastSentAt;
-            const owesNotice = progress.toldCommit < this.#commitIndex;
+            const sinceLastSendMs = now - progress.lastSentAtMs;
+            const hasUnsentCommit = progress.sentCommitIndex < this.#commitIndex;
             if (
-                silentFor >= this.#timings.heartbeatMs ||
-                (owesNotice && silentFor >= COMMIT_NOTICE_MS && progress.inFlightUntil === 0)
+                sinceLastSendMs >= this.#timings.heartbeatMs ||
+                (hasUnsentCommit &&
+                    sinceLastSendMs >= COMMIT_NOTIFY_DELAY_MS &&
+                    progress.inFlightIndex === 0)
             ) {
                 this.#sendAppend(member);
             }
@@ -539,44 +541,44 @@
     #startPreVote(): void {
         this.#applyRoleEvent("election_timeout");
         this.#leader = undefined;
-        this.#votes = new Set([this.#self]);
-        this.#setPreVoteDeadline();
+        this.#grantedVotes = new Set([this.#self]);
+        this.#setPreVoteRetryDeadline();
         this.#sendVoteRequests(true);
         this.#checkVotes(true);
     }
 
-    #startVote(isTransfer: boolean): void {
+    #startElection(isTransfer: boolean): void {
         this.#applyRoleEvent("win_pre_vote");
-        this.#setTerm(this.#term + 1, this.#self);
-        this.#votes = new Set([this.#self]);
+        this.#setTermAndVote(this.#term + 1, this.#self);
+        this.#grantedVotes = new Set([this.#self]);
         this.#setElectionDeadline();
         this.#sendVoteRequests(false, isTransfer);
         this.#checkVotes(false);
     }
 
-    #sendVoteRequests(pre: boolean, isTransfer = false): void {
+    #sendVoteRequests(isPreVote: boolean, isTransfer = false): void {
         const message: VoteRequest = {
             type: "voteRequest",
-            pre,
-            term: pre ? this.#term + 1 : this.#term,
+            pre: isPreVote,
+            term: isPreVote ? this.#term + 1 : this.#term,
             lastIndex: this.lastIndex,
             lastTerm: this.#log.getTermAt(this.lastIndex) ?? 0,
             isTransfer,
         };
         for (const voter of this.#voters) {
             if (voter !== this.#self) {
-                this.#sendAfter.push({ to: voter, message });
+                this.#messagesAfterPersist.push({ to: voter, message });
             }
         }
     }
 
-    #checkVotes(pre: boolean): void {
-        const granted = this.#voters.filter((v) => this.#votes.has(v)).length;
-        if (granted < computeQuorum(this.#voters.length)) {
+    #checkVotes(isPreVote: boolean): void {
+        const granted = this.#voters.filter((v) => this.#grantedVotes.has(v)).length;
+        if (granted < computeQuorumSize(this.#voters.length)) {
             return;
         }
-        if (pre) {
-            this.#startVote(false);
+        if (isPreVote) {
+            this.#startElection(false);
         } else {
             this.#startLeading();
         }
@@ -585,18 +587,18 @@
     #startLeading(): void {
         this.#applyRoleEvent("win_vote");
         this.#leader = this.#self;
-        this.#transferAt = undefined;
-        this.#ledSince = this.#now;
+        this.#transferStartMs = undefined;
+        this.#quorumWaitStartMs = this.#now;
         this.#followers.clear();
         for (const voter of this.#voters) {
             this.#followers.add(voter, this.lastIndex + 1);
         }
         // An entry of an earlier term is committed only together with one of this term: counting
         // copies alone could commit an entry that a later leader still overwrites.
-        this.#termStartIndex = this.#appendOwn({ type: "noop" });
+        this.#termStartIndex = this.#appendEntry({ type: "noop" });
     }
 
-    #appendOwn(
+    #appendEntry(
         body:
             | { type: "noop" }
             | { type: "commands"; commands: readonly unknown[] }
@@ -606,7 +608,7 @@
         this.#log.append(entry);
         this.#unpersisted.push(entry);
         for (const [member, progress] of this.#followers.entries) {
-            if (progress.inFlightUntil === 0) {
+            if (progress.inFlightIndex === 0) {
                 this.#sendAppend(member);
             }
         }
@@ -618,23 +620,23 @@
         if (progress === undefined) {
             return;
         }
-        progress.lastSentAt = this.#now;
+        progress.lastSentAtMs = this.#now;
         const previousIndex = progress.nextIndex - 1;
         if (previousIndex < this.baseIndex) {
-            const isOnItsWay =
-                progress.snapshotSentAt > 0 &&
-                this.#now - progress.snapshotSentAt < SNAPSHOT_RESEND_MS;
-            const snapshot = isOnItsWay ? undefined : this.snapshotForPeers?.();
+            const isSnapshotInFlight =
+                progress.snapshotSentAtMs > 0 &&
+                this.#now - progress.snapshotSentAtMs < SNAPSHOT_RESEND_MS;
+            const snapshot = isSnapshotInFlight ? undefined : this.buildSnapshot?.();
             if (snapshot !== undefined) {
-                progress.snapshotSentAt = this.#now;
+                progress.snapshotSentAtMs = this.#now;
                 const message: SnapshotRequest = {
                     type: "snapshot",
                     term: this.#term,
                     snapshot,
                     sentAt: this.#now,
                 };
-                progress.inFlightUntil = snapshot.index;
-                this.#sendNow.push({ to: member, message });
+                progress.inFlightIndex = snapshot.index;
+                this.#messagesBeforePersist.push({ to: member, message });
             }
             return;
         }
@@ -642,8 +644,8 @@
             previousIndex,
             previousIndex + MAX_ENTRIES_PER_APPEND,
         );
-        progress.inFlightUntil = entries.at(-1)?.index ?? progress.inFlightUntil;
-        progress.toldCommit = this.#commitIndex;
+        progress.inFlightIndex = entries.at(-1)?.index ?? progress.inFlightIndex;
+        progress.sentCommitIndex = this.#commitIndex;
         const message: AppendRequest = {
             type: "append",
             term: this.#term,
@@ -653,64 +655,67 @@
             commitIndex: this.#commitIndex,
             sentAt: this.#now,
         };
-        this.#sendNow.push({ to: member, message });
+        this.#messagesBeforePersist.push({ to: member, message });
     }
 
     #handleVoteRequest(from: MemberId, message: VoteRequest): void {
         // While it hears a leader, a member gives no vote and does not even take the higher term:
         // otherwise a member that was cut off could depose a leader whose lease still runs.
-        const hearsLeader =
+        const hasActiveLeader =
             this.#role === "leader"
                 ? this.hasLease(this.#now)
-                : this.#now - this.#heardLeaderAt < this.#timings.electionMs;
-        const upToDate =
+                : this.#now - this.#lastLeaderContactMs < this.#timings.electionMs;
+        const isLogUpToDate =
             message.lastTerm > (this.#log.getTermAt(this.lastIndex) ?? 0) ||
             (message.lastTerm === this.#log.getTermAt(this.lastIndex) &&
                 message.lastIndex >= this.lastIndex);
         if (message.pre) {
-            const granted = !hearsLeader && upToDate && message.term > this.#term;
-            this.#answerVote(from, true, granted ? message.term : this.#term, granted);
+            const granted = !hasActiveLeader && isLogUpToDate && message.term > this.#term;
+            this.#sendVoteResponse(from, true, granted ? message.term : this.#term, granted);
             return;
         }
         // A member asked for its vote gives it even when its own log does not name it a voter yet:
         // the candidate's may, and a group that just grew would otherwise wait for a dead leader.
-        if (hearsLeader && !message.isTransfer) {
-            this.#answerVote(from, false, this.#term, false);
+        if (hasActiveLeader && !message.isTransfer) {
+            this.#sendVoteResponse(from, false, this.#term, false);
             return;
         }
         if (message.term > this.#term) {
             this.#resign("higher_term");
-            this.#setTerm(message.term, undefined);
+            this.#setTermAndVote(message.term, undefined);
         }
         const granted =
             message.term === this.#term &&
-            upToDate &&
+            isLogUpToDate &&
             (this.#votedFor === undefined || this.#votedFor === from);
         if (granted) {
-            this.#setTerm(this.#term, from);
+            this.#setTermAndVote(this.#term, from);
             this.#setElectionDeadline();
         }
-        this.#answerVote(from, false, this.#term, granted);
+        this.#sendVoteResponse(from, false, this.#term, granted);
     }
 
-    #answerVote(to: MemberId, pre: boolean, term: number, granted: boolean): void {
-        this.#sendAfter.push({ to, message: { type: "voteResponse", pre, term, granted } });
+    #sendVoteResponse(to: MemberId, isPreVote: boolean, term: number, granted: boolean): void {
+        this.#messagesAfterPersist.push({
+            to,
+            message: { type: "voteResponse", pre: isPreVote, term, granted },
+        });
     }
 
     #handleVoteResponse(from: MemberId, message: VoteResponse): void {
         if (!message.granted) {
             if (message.term > this.#term) {
                 this.#resign("higher_term");
-                this.#setTerm(message.term, undefined);
+                this.#setTermAndVote(message.term, undefined);
             }
             return;
         }
-        const expected = this.#role === "pre_candidate" ? this.#term + 1 : this.#term;
-        const counts =
-            message.term === expected &&
+        const expectedTerm = this.#role === "pre_candidate" ? this.#term + 1 : this.#term;
+        const isCurrentVote =
+            message.term === expectedTerm &&
             (message.pre ? this.#role === "pre_candidate" : this.#role === "candidate");
-        if (counts) {
-            this.#votes.add(from);
+        if (isCurrentVote) {
+            this.#grantedVotes.add(from);
             this.#checkVotes(message.pre);
         }
     }
@@ -721,14 +726,14 @@
         }
         const previousTerm = this.#log.getTermAt(message.previousIndex);
         if (message.previousIndex > this.lastIndex || previousTerm !== message.previousTerm) {
-            const retryFrom =
+            const retryIndex =
                 message.previousIndex > this.lastIndex ? this.lastIndex + 1 : this.#commitIndex + 1;
-            this.#answerAppend(from, false, retryFrom, message.sentAt);
+            this.#sendAppendResponse(from, false, retryIndex, message.sentAt);
             return;
         }
-        let lastNew = message.previousIndex;
+        let lastMatchedIndex = message.previousIndex;
         for (const entry of message.entries) {
-            lastNew = entry.index;
+            lastMatchedIndex = entry.index;
             if (this.#log.getTermAt(entry.index) === entry.term) {
                 continue;
             }
@@ -737,17 +742,20 @@
             this.#unpersisted.push(entry);
         }
         this.#updateVoters();
-        this.#commitIndex = Math.max(this.#commitIndex, Math.min(message.commitIndex, lastNew));
-        this.#answerAppend(from, true, lastNew, message.sentAt);
+        this.#commitIndex = Math.max(
+            this.#commitIndex,
+            Math.min(message.commitIndex, lastMatchedIndex),
+        );
+        this.#sendAppendResponse(from, true, lastMatchedIndex, message.sentAt);
     }
 
     /** The leader is about to stop: campaign without the pre-vote, which its followers would refuse. */
     #handleTransfer(from: MemberId, message: TransferRequest): void {
-        this.#answerAppend(from, true, this.#commitIndex, message.sentAt);
+        this.#sendAppendResponse(from, true, this.#commitIndex, message.sentAt);
         if (this.#role === "follower" && message.term === this.#term && this.#leader === from) {
             this.#applyRoleEvent("election_timeout");
             this.#leader = undefined;
-            this.#startVote(true);
+            this.#startElection(true);
         }
     }
 
@@ -757,38 +765,38 @@
         }
         const { snapshot } = message;
         if (snapshot.index <= this.#commitIndex) {
-            this.#answerAppend(from, true, this.#commitIndex, message.sentAt);
+            this.#sendAppendResponse(from, true, this.#commitIndex, message.sentAt);
             return;
         }
         this.#log.replace(snapshot);
         this.#unpersisted = [];
         this.#commitIndex = snapshot.index;
         this.#persistedIndex = snapshot.index;
-        this.#install = snapshot;
+        this.#snapshotToInstall = snapshot;
         this.#updateVoters();
-        this.#answerAppend(from, true, snapshot.index, message.sentAt);
+        this.#sendAppendResponse(from, true, snapshot.index, message.sentAt);
     }
 
     /** Takes the sender as the leader of its term, unless the term is over. */
     #acceptLeader(from: MemberId, term: number, sentAt: number): boolean {
         if (term < this.#term) {
-            this.#answerAppend(from, false, this.lastIndex + 1, sentAt);
+            this.#sendAppendResponse(from, false, this.lastIndex + 1, sentAt);
             return false;
         }
         if (term > this.#term) {
-            this.#setTerm(term, undefined);
+            this.#setTermAndVote(term, undefined);
         }
         if (this.#role !== "follower" && this.#role !== "learner") {
             this.#resignCause = "higher_term";
             this.#applyRoleEvent("follow");
         }
         this.#leader = from;
-        this.#heardLeaderAt = this.#now;
+        this.#lastLeaderContactMs = this.#now;
         this.#setElectionDeadline();
         return true;
     }
 
-    #answerAppend(to: MemberId, ok: boolean, index: number, sentAt: number): void {
+    #sendAppendResponse(to: MemberId, ok: boolean, index: number, sentAt: number): void {
         const message: AppendResponse = {
             type: "appendResponse",
             term: this.#term,
@@ -796,24 +804,24 @@
             index,
             sentAt,
         };
-        this.#sendAfter.push({ to, message });
+        this.#messagesAfterPersist.push({ to, message });
     }
 
     #handleAppendResponse(from: MemberId, message: AppendResponse): void {
         if (message.term > this.#term) {
             this.#resign("higher_term");
-            this.#setTerm(message.term, undefined);
+            this.#setTermAndVote(message.term, undefined);
             return;
         }
         const progress = this.#followers.find(from);
         if (this.#role !== "leader" || message.term !== this.#term || progress === undefined) {
             return;
         }
-        if (message.sentAt >= this.#trustedFrom) {
-            progress.ackedSentAt = Math.max(progress.ackedSentAt, message.sentAt);
+        if (message.sentAt >= this.#acksValidFromMs) {
+            progress.ackedSentAtMs = Math.max(progress.ackedSentAtMs, message.sentAt);
         }
-        progress.inFlightUntil = 0;
-        progress.snapshotSentAt = 0;
+        progress.inFlightIndex = 0;
+        progress.snapshotSentAtMs = 0;
         if (message.ok) {
             progress.matchIndex = Math.max(progress.matchIndex, message.index);
             progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
@@ -844,9 +852,9 @@
     }
 
     /** Whether a quorum of the given voters answered within an election timeout. */
-    #hasQuorumOf(voters: readonly MemberId[]): boolean {
-        const answeredAt = this.#followers.computeQuorumContact(voters, this.#now);
-        return this.#now - answeredAt <= this.#timings.electionMs;
+    #hasActiveQuorum(voters: readonly MemberId[]): boolean {
+        const quorumAckTimeMs = this.#followers.computeQuorumAckTimeMs(voters, this.#now);
+        return this.#now - quorumAckTimeMs <= this.#timings.electionMs;
     }
 
     #resign(cause: ResignCause): void {
@@ -861,17 +869,17 @@
         this.#setElectionDeadline();
     }
 
-    #setTerm(term: number, votedFor: MemberId | undefined): void {
+    #setTermAndVote(term: number, votedFor: MemberId | undefined): void {
         if (term !== this.#term || votedFor !== this.#votedFor) {
             this.#term = term;
             this.#votedFor = votedFor;
-            this.#hardChanged = true;
+            this.#isHardStateChanged = true;
         }
     }
 
     #setElectionDeadline(): void {
-        const isAlone = this.#voters.length === 1 && this.#voters[0] === this.#self;
-        this.#electionAt = isAlone
+        const isOnlyVoter = this.#voters.length === 1 && this.#voters[0] === this.#self;
+        this.#electionDeadlineMs = isOnlyVoter
             ? this.#now
             : this.#now + this.#timings.electionMs * (1 + this.#random());
     }
@@ -882,17 +890,17 @@
      * the leader before, and a whole election timeout more would be a part of the outage. A pre-vote disturbs
      * nobody, because members that hear a leader refuse it.
      */
-    #setPreVoteDeadline(): void {
-        const shortest = this.#timings.electionMs * PRE_VOTE_RETRY_SHARE;
-        this.#electionAt = this.#now + shortest * (1 + this.#random());
+    #setPreVoteRetryDeadline(): void {
+        const minDelayMs = this.#timings.electionMs * PRE_VOTE_RETRY_FRACTION;
+        this.#electionDeadlineMs = this.#now + minDelayMs * (1 + this.#random());
     }
 
     /** A restarted member heard no leader yet: it asks once the lease of the one before is over. */
     #scheduleFirstElection(): void {
-        const leaseEndsAt = this.#heardLeaderAt + this.#timings.electionMs;
-        if (Number.isFinite(leaseEndsAt)) {
-            const spread = this.#timings.electionMs * PRE_VOTE_RETRY_SHARE * this.#random();
-            this.#electionAt = Math.max(this.#now, leaseEndsAt) + spread;
+        const leaseEndMs = this.#lastLeaderContactMs + this.#timings.electionMs;
+        if (Number.isFinite(leaseEndMs)) {
+            const jitterMs = this.#timings.electionMs * PRE_VOTE_RETRY_FRACTION * this.#random();
+            this.#electionDeadlineMs = Math.max(this.#now, leaseEndMs) + jitterMs;
         }
     }
 
@@ -937,7 +945,7 @@
  * A pre-vote that was not won is repeated after this share of the election timeout, up to twice that: longer
  * than an answer takes from a process that just started (some 50 ms).
  */
-const PRE_VOTE_RETRY_SHARE = 0.3;
+const PRE_VOTE_RETRY_FRACTION = 0.3;
 
 /** The role chart's event for each cause. */
 const RESIGN_EVENTS: Readonly<Record<ResignCause, string>> = {
@@ -948,4 +956,4 @@
 };
 
 /** A leader trusts its lease for this share of the election timeout: clocks may run unevenly. */
-const LEASE_SHARE = 0.8;
+const LEASE_FRACTION = 0.8;
--- a/log/consensus_test.ts
+++ b/log/consensus_test.ts
@@ -17,12 +17,12 @@
 test("a group elects one leader, commits by quorum and replaces a leader that died", (t) => {
     // The operator sees commands go on being accepted after the leader's process is killed:
     // the others miss its heartbeats, one of them wins a quorum, and nothing committed is lost.
-    const group = new GroupFixture({ members: 3, seed: 7 });
+    const group = new GroupFixture({ memberCount: 3, seed: 7 });
     group.runFor(5_000);
     const first = getLeader(group);
     const index = group.propose(first, "a") as number;
     group.runFor(500);
-    group.stopMember(first);
+    group.crashMember(first);
     group.runFor(5_000);
     const second = getLeader(group);
     t.not(second, first);
@@ -35,37 +35,41 @@
     // A control instance is cut off silently while it leads. It must stop answering before the
     // others elect a successor; its uncommitted command never takes effect, and when the cut
     // heals it follows, with the successor's log.
-    const group = new GroupFixture({ members: 3, seed: 3 });
+    const group = new GroupFixture({ memberCount: 3, seed: 3 });
     group.runFor(5_000);
-    const old = getLeader(group);
-    group.setIsolated(old, true);
-    const lost = group.propose(old, "never committed") as number;
+    const oldLeader = getLeader(group);
+    group.setIsolated(oldLeader, true);
+    const uncommittedIndex = group.propose(oldLeader, "never committed") as number;
     group.runFor(5_000);
-    const next = getLeader(group);
-    t.not(next, old);
-    t.not(group.nodes.get(old)?.role, "leader", "it stepped down without a quorum");
-    group.propose(next, "committed");
+    const newLeader = getLeader(group);
+    t.not(newLeader, oldLeader);
+    t.not(group.nodes.get(oldLeader)?.role, "leader", "it stepped down without a quorum");
+    group.propose(newLeader, "committed");
     group.runFor(300);
-    group.setIsolated(old, false);
+    group.setIsolated(oldLeader, false);
     group.runFor(3_000);
-    t.is(getLeader(group), next, "the returning member does not depose the leader");
-    t.is(group.nodes.get(old)?.lastIndex, group.nodes.get(next)?.lastIndex);
-    t.notDeepEqual(group.committed.get(lost), { index: lost, term: 1, type: "commands" });
+    t.is(getLeader(group), newLeader, "the returning member does not depose the leader");
+    t.is(group.nodes.get(oldLeader)?.lastIndex, group.nodes.get(newLeader)?.lastIndex);
+    t.notDeepEqual(group.committed.get(uncommittedIndex), {
+        index: uncommittedIndex,
+        term: 1,
+        type: "commands",
+    });
     t.deepEqual(group.violations, []);
 });
 
 test("a frozen leader that wakes up holds no lease", (t) => {
     // The leader's process is paused (SIGSTOP) past the election of a successor. On waking its
     // memory says it leads; its clock went on, so its lease is over before it can answer.
-    const group = new GroupFixture({ members: 3, seed: 11 });
+    const group = new GroupFixture({ memberCount: 3, seed: 11 });
     group.runFor(5_000);
-    const old = getLeader(group);
-    group.runFor(6_000, old);
-    t.is(group.nodes.get(old)?.role, "leader", "it still believes so");
-    t.false(group.nodes.get(old)?.hasLease(group.now));
-    t.not(getLeader(group), old);
+    const oldLeader = getLeader(group);
+    group.runFor(6_000, oldLeader);
+    t.is(group.nodes.get(oldLeader)?.role, "leader", "it still believes so");
+    t.false(group.nodes.get(oldLeader)?.hasLease(group.now));
+    t.not(getLeader(group), oldLeader);
     group.runFor(1_000);
-    t.not(group.nodes.get(old)?.role, "leader");
+    t.not(group.nodes.get(oldLeader)?.role, "leader");
     t.deepEqual(group.violations, []);
 });
 
@@ -73,17 +77,17 @@
     // A second instance may be lost right after a repair. The leader adds the new incarnation,
     // waits for the commit, then removes the old one; a second change before that is refused,
     // because two changes at once could give two quorums that share no member.
-    const group = new GroupFixture({ members: 3, seed: 5 });
+    const group = new GroupFixture({ memberCount: 3, seed: 5 });
     group.runFor(5_000);
     const leader = getLeader(group);
     const wiped = group.ids.find((id) => id !== leader) as MemberId;
-    const fresh = "m9.1" as MemberId;
-    group.stopMember(wiped);
-    group.ids.push(fresh);
-    group.disks.set(fresh, { hard: { term: 0, votedFor: undefined }, entries: [] });
-    group.startMember(fresh);
+    const replacement = "m9.1" as MemberId;
+    group.crashMember(wiped);
+    group.ids.push(replacement);
+    group.disks.set(replacement, { hardState: { term: 0, votedFor: undefined }, entries: [] });
+    group.startMember(replacement);
     const node = group.nodes.get(leader);
-    const voters = [...(node?.voters ?? []), fresh];
+    const voters = [...(node?.voters ?? []), replacement];
     t.not(node?.proposeVoters(voters), undefined);
     t.is(node?.proposeVoters(voters.filter((v) => v !== wiped)), undefined, "not yet committed");
     group.runMember(leader);
@@ -92,11 +96,11 @@
     group.runMember(leader);
     group.runFor(1_000);
     t.deepEqual(
-        [...(group.nodes.get(fresh)?.voters ?? [])].sort(),
+        [...(group.nodes.get(replacement)?.voters ?? [])].sort(),
         [...(node?.voters ?? [])].sort(),
     );
-    const other = group.ids.find((id) => ![leader, wiped, fresh].includes(id)) as MemberId;
-    group.stopMember(other);
+    const other = group.ids.find((id) => ![leader, wiped, replacement].includes(id)) as MemberId;
+    group.crashMember(other);
     const index = group.propose(leader, "after the repair") as number;
     group.runFor(1_000);
     t.true(group.committed.has(index), "the repaired member makes the quorum");
@@ -107,14 +111,14 @@
     // The leader may answer callers until its lease ends. One follower is cut off from it and
     // campaigns; the other restarts, forgets that it just answered the leader, and would vote:
     // two leaders could then answer at once. It refuses for one election timeout instead.
-    const group = new GroupFixture({ members: 3, seed: 21 });
+    const group = new GroupFixture({ memberCount: 3, seed: 21 });
     group.runFor(5_000);
     const leader = getLeader(group);
     const [campaigner, restarted] = group.ids.filter((id) => id !== leader) as [MemberId, MemberId];
     group.setLink(leader, campaigner, false);
     group.runFor(1_500);
     t.is(getLeader(group), leader);
-    group.stopMember(restarted);
+    group.crashMember(restarted);
     group.startMember(restarted);
     group.setLink(leader, restarted, false);
     group.nodes.get(restarted)?.receive(
@@ -129,7 +133,7 @@
         },
         group.now,
     );
-    const answer = group.nodes.get(restarted)?.takeReady().sendAfter[0]?.message;
+    const answer = group.nodes.get(restarted)?.takeReady().messagesAfterPersist[0]?.message;
     t.true(group.nodes.get(leader)?.hasLease(group.now));
     t.like(answer, { type: "voteResponse", granted: false });
 });
@@ -137,14 +141,14 @@
 test("a leader that stops hands the lead over at once, and trusts its lease no more", (t) => {
     // A rolling restart: without it, callers would find no leader for an election timeout at each
     // instance. The old leader must not answer on its lease while the new one is elected.
-    const group = new GroupFixture({ members: 3, seed: 4 });
+    const group = new GroupFixture({ memberCount: 3, seed: 4 });
     group.runFor(5_000);
-    const old = getLeader(group);
-    group.nodes.get(old)?.resignTo();
-    t.false(group.nodes.get(old)?.hasLease(group.now));
-    group.runMember(old);
+    const oldLeader = getLeader(group);
+    group.nodes.get(oldLeader)?.startLeadershipTransfer();
+    t.false(group.nodes.get(oldLeader)?.hasLease(group.now));
+    group.runMember(oldLeader);
     group.runFor(100);
-    t.not(getLeader(group), old);
+    t.not(getLeader(group), oldLeader);
     t.deepEqual(group.violations, []);
 });
 
@@ -152,14 +156,14 @@
     // A leader of term 2 died after storing an entry on a minority. Its successor in term 4 copies
     // the entry to a quorum. Counted as committed now, it could still be overwritten by a member
     // whose last entry is of term 3; so it waits for an entry of term 4 on top.
-    const group = new GroupFixture({ members: 3, seed: 2 });
+    const group = new GroupFixture({ memberCount: 3, seed: 2 });
     const [m1, m2] = group.ids as [MemberId, MemberId];
     const disk = group.disks.get(m1);
     disk?.entries.push(
         { index: 1, term: 1, type: "commands", commands: ["a"] },
         { index: 2, term: 2, type: "commands", commands: ["b"] },
     );
-    Object.assign(disk ?? {}, { hard: { term: 3, votedFor: undefined } });
+    Object.assign(disk ?? {}, { hardState: { term: 3, votedFor: undefined } });
     group.startMember(m1);
     group.runFor(100);
     group.advance(2_000);
@@ -196,12 +200,12 @@
             fc.constantFrom(3, 5),
             fc.array(step, { minLength: 20, maxLength: 120 }),
             (seed, members, steps) => {
-                const group = new GroupFixture({ members, seed });
+                const group = new GroupFixture({ memberCount: members, seed });
                 group.runFor(2_500);
                 for (const { kind, n } of steps) {
                     applyStep(group, kind, n);
                 }
-                group.removeCuts();
+                group.restoreLinks();
                 for (const id of group.ids) {
                     if (!group.nodes.has(id)) {
                         group.startMember(id);
@@ -220,46 +224,46 @@
     );
 });
 
-function applyStep(group: GroupFixture, kind: string, n: number): void {
-    const id = group.ids[n % group.ids.length] as MemberId;
+function applyStep(group: GroupFixture, kind: string, value: number): void {
+    const id = group.ids[value % group.ids.length] as MemberId;
     switch (kind) {
         case "deliver":
-            group.handleMessage(n, false);
+            group.handleMessage(value, false);
             return;
         case "lose":
-            group.handleMessage(n, true);
+            group.handleMessage(value, true);
             return;
         case "advance":
-            group.advance(n);
+            group.advance(value);
             return;
         case "propose":
             group.propose(id, `c${group.now}`);
             return;
         case "restart":
-            group.stopMember(id);
+            group.crashMember(id);
             group.startMember(id);
             return;
         case "isolate":
             group.setIsolated(id, true);
             return;
         case "transfer":
-            group.nodes.get(id)?.resignTo();
+            group.nodes.get(id)?.startLeadershipTransfer();
             group.runMember(id);
             return;
         case "cut":
-            group.setLink(id, group.ids[(n >> 2) % group.ids.length] as MemberId, false);
+            group.setLink(id, group.ids[(value >> 2) % group.ids.length] as MemberId, false);
             return;
         case "freeze":
             group.runFor(
-                n,
+                value,
                 group.ids.find((m) => group.nodes.get(m)?.role === "leader"),
             );
             return;
         case "heal":
-            group.removeCuts();
+            group.restoreLinks();
             return;
         case "run":
-            group.runFor(n);
+            group.runFor(value);
             return;
     }
 }
@@ -269,10 +273,10 @@
     // the leader before for one election timeout from their start, and ask again soon when the first to ask
     // found the others not up yet. Waiting a whole timeout again would double the outage.
     for (let seed = 1; seed <= 20; seed++) {
-        const group = new GroupFixture({ members: 3, seed });
+        const group = new GroupFixture({ memberCount: 3, seed });
         group.runFor(4_000);
         const [first, second, third] = group.ids as [MemberId, MemberId, MemberId];
-        group.ids.forEach((id) => group.stopMember(id));
+        group.ids.forEach((id) => group.crashMember(id));
         const lostAt = group.now;
         group.startMember(first);
         group.runFor(100);
@@ -290,17 +294,21 @@
 
 test("a process that took long to start keeps the lease before it from its start on only", (t) => {
     const voters = ["m1.0", "m2.0", "m3.0"] as MemberId[];
-    const stored = { hard: { term: 3, votedFor: undefined }, snapshot: undefined, entries: [] };
-    const build = (startedAt: number): Consensus =>
+    const stored = {
+        hardState: { term: 3, votedFor: undefined },
+        snapshot: undefined,
+        entries: [],
+    };
+    const createNode = (startedAt: number): Consensus =>
         new Consensus({
             self: "m1.0" as MemberId,
             stored,
             initialVoters: voters,
             random: () => 0,
             now: 10_000,
-            startedAt,
+            startedAtMs: startedAt,
         });
-    const ask = (node: Consensus): boolean => {
+    const requestVote = (node: Consensus): boolean => {
         const message = {
             type: "voteRequest" as const,
             pre: false,
@@ -310,22 +318,22 @@
             isTransfer: false,
         };
         node.receive("m2.0" as MemberId, message, 10_000);
-        const answer = node.takeReady().sendAfter[0]?.message;
+        const answer = node.takeReady().messagesAfterPersist[0]?.message;
         return answer?.type === "voteResponse" && answer.granted;
     };
-    t.true(ask(build(10_000 - DEFAULT_TIMINGS.electionMs)));
-    t.false(ask(build(10_000 - DEFAULT_TIMINGS.electionMs + 1)));
+    t.true(requestVote(createNode(10_000 - DEFAULT_TIMINGS.electionMs)));
+    t.false(requestVote(createNode(10_000 - DEFAULT_TIMINGS.electionMs + 1)));
 });
 
 test("a change of the voters that would leave no quorum is not begun", (t) => {
     // The operator's group never came back: two of six voters were lost with their disks, the four others elected a
     // leader, and it removed voters that were there, for the sake of a plan that counted the lost ones. With the second
     // removal three of four had to agree, and two were left. A change waits until enough of its voters answer.
-    const group = new GroupFixture({ members: 6, seed: 17 });
+    const group = new GroupFixture({ memberCount: 6, seed: 17 });
     group.runFor(5_000);
     const [lost1, lost2] = group.ids.filter((id) => id !== getLeader(group));
-    group.stopMember(lost1 as MemberId);
-    group.stopMember(lost2 as MemberId);
+    group.crashMember(lost1 as MemberId);
+    group.crashMember(lost2 as MemberId);
     group.runFor(2_000);
     const leader = getLeader(group);
     const node = group.nodes.get(leader);
--- a/log/entry_log.ts
+++ b/log/entry_log.ts
@@ -24,7 +24,7 @@
 }
 
 /** The voters in force at a point of the log, and the index that set them. */
-export interface VotersAt {
+export interface VoterConfiguration {
     readonly voters: readonly MemberId[];
     readonly index: number;
 }
@@ -95,7 +95,7 @@
      * @param index The index.
      * @returns The voters, and the index that set them.
      */
-    findVotersAt(index: number): VotersAt {
+    findVotersAt(index: number): VoterConfiguration {
         for (let i = this.#entries.length - 1; i >= 0; i--) {
             const entry = this.#entries[i];
             if (entry?.type === "voters" && entry.index <= index) {
--- a/log/entry_log_test.ts
+++ b/log/entry_log_test.ts
@@ -2,8 +2,8 @@
 import { EntryLog } from "./entry_log.ts";
 import type { LogEntry, MemberId } from "./types.ts";
 
-const ALL = ["a", "b", "c"] as MemberId[];
-const FEWER = ["a", "b"] as MemberId[];
+const THREE_VOTERS = ["a", "b", "c"] as MemberId[];
+const TWO_VOTERS = ["a", "b"] as MemberId[];
 
 function buildEntry(index: number, term: number): LogEntry {
     return { index, term, type: "noop" };
@@ -12,10 +12,10 @@
 function buildLog(): EntryLog {
     const entries: LogEntry[] = [
         buildEntry(11, 2),
-        { index: 12, term: 3, type: "voters", voters: FEWER },
+        { index: 12, term: 3, type: "voters", voters: TWO_VOTERS },
         buildEntry(13, 3),
     ];
-    return new EntryLog({ index: 10, term: 2, voters: ALL, entries });
+    return new EntryLog({ index: 10, term: 2, voters: THREE_VOTERS, entries });
 }
 
 test("terms are known from the base on", (t) => {
@@ -28,8 +28,8 @@
 
 test("the voters of a point are those that the newest entry up to it set", (t) => {
     const log = buildLog();
-    t.deepEqual(log.findVotersAt(11), { voters: ALL, index: 10 });
-    t.deepEqual(log.findVotersAt(13), { voters: FEWER, index: 12 });
+    t.deepEqual(log.findVotersAt(11), { voters: THREE_VOTERS, index: 10 });
+    t.deepEqual(log.findVotersAt(13), { voters: TWO_VOTERS, index: 12 });
 });
 
 test("entries are listed between two indices, without those that are gone", (t) => {
@@ -48,16 +48,16 @@
     const log = buildLog();
     log.removeFrom(12);
     t.is(log.lastIndex, 11);
-    t.deepEqual(log.findVotersAt(log.lastIndex), { voters: ALL, index: 10 });
+    t.deepEqual(log.findVotersAt(log.lastIndex), { voters: THREE_VOTERS, index: 10 });
 });
 
 test("a compacted log keeps the voters and the term of its base", (t) => {
     const log = buildLog();
     log.compact(12);
     t.deepEqual([log.baseIndex, log.lastIndex, log.getTermAt(12)], [12, 13, 3]);
-    t.deepEqual(log.findVotersAt(13), { voters: FEWER, index: 12 });
+    t.deepEqual(log.findVotersAt(13), { voters: TWO_VOTERS, index: 12 });
     log.compact(5);
     t.is(log.baseIndex, 12);
-    log.replace({ index: 40, term: 9, voters: ALL });
+    log.replace({ index: 40, term: 9, voters: THREE_VOTERS });
     t.deepEqual([log.baseIndex, log.lastIndex, log.getTermAt(40)], [40, 40, 9]);
 });
--- a/log/replica.ts
+++ b/log/replica.ts
@@ -16,7 +16,7 @@
  */
 
 import { interval, type Subscription } from "rxjs";
-import { Barriers } from "./_barriers.ts";
+import { ApplyWaiters } from "./_apply_waiters.ts";
 import {
     Consensus,
     DEFAULT_TIMINGS,
@@ -26,7 +26,14 @@
     type ResignCause,
     type Role,
 } from "./consensus.ts";
-import type { GroupMessage, LogEntry, MemberId, Outgoing, Snapshot, Storage } from "./types.ts";
+import type {
+    GroupMessage,
+    LogEntry,
+    MemberId,
+    OutgoingMessage,
+    Snapshot,
+    Storage,
+} from "./types.ts";
 
 /** A deterministic state machine: the same commands in the same order give the same state. */
 export interface StateMachine<C, R> {
@@ -63,11 +70,11 @@
     /** Committed entries were applied; on the leader, effects may leave now. */
     readonly onApplied?: () => void;
     /** This member leads, and everything of earlier terms is applied. */
-    readonly onLead?: () => void;
+    readonly onLeadershipGained?: () => void;
     /** This member leads no more, and why. */
-    readonly onResign?: (cause: ResignCause) => void;
+    readonly onLeadershipLost?: (cause: ResignCause) => void;
     /** A write to the storage took this long, in ms. */
-    readonly onPersisted?: (tookMs: number) => void;
+    readonly onPersisted?: (durationMs: number) => void;
     /** Writing to the storage failed; it is tried again. */
     readonly onStorageError?: (error: Error) => void;
 }
@@ -128,9 +135,9 @@
 
 const TICK_MS = 25;
 const STORAGE_RETRY_MS = 500;
-const RESIGN_WAIT_MS = 500;
+const LEADERSHIP_TRANSFER_TIMEOUT_MS = 500;
 const DEFAULT_BATCH_WINDOW_MS = 2;
-const DEFAULT_SNAPSHOT_EVERY = 2_000;
+const DEFAULT_SNAPSHOT_INTERVAL_ENTRIES = 2_000;
 
 /** One member's replica. */
 export class Replica<C, R> {
@@ -139,17 +146,20 @@
     readonly #getNow: () => number;
     #appliedIndex = 0;
     #snapshotIndex = 0;
-    #pending: Proposal<C, R>[] = [];
-    readonly #proposed = new Map<number, readonly Proposal<C, R>[]>();
-    readonly #barriers = new Barriers();
-    #confirming: Promise<void> | undefined;
-    readonly #replyWaiters = new Map<MemberId, ((message: GroupMessage | undefined) => void)[]>();
+    #pendingProposals: Proposal<C, R>[] = [];
+    readonly #inFlightProposals = new Map<number, readonly Proposal<C, R>[]>();
+    readonly #applyWaiters = new ApplyWaiters();
+    #leaseConfirmation: Promise<void> | undefined;
+    readonly #responseWaiters = new Map<
+        MemberId,
+        ((message: GroupMessage | undefined) => void)[]
+    >();
     #batchTimer: NodeJS.Timeout | undefined;
-    #running: Promise<void> | undefined;
-    #ticks: Subscription | undefined;
-    #leadingTerm = 0;
-    #isLeadAnnounced = false;
-    #stopped = false;
+    #readyLoop: Promise<void> | undefined;
+    #tickSubscription: Subscription | undefined;
+    #leaderTerm = 0;
+    #isLeadershipEstablished = false;
+    #isStopped = false;
 
     /**
      * @param options Identity, storage, state machine, transport; see {@link ReplicaOptions}.
@@ -165,31 +175,33 @@
             timings: options.timings ?? DEFAULT_TIMINGS,
             random: options.random ?? Math.random,
             now: this.#getNow(),
-            startedAt: options.startedAt,
+            startedAtMs: options.startedAt,
         });
         if (stored.snapshot !== undefined) {
             options.machine.restore(stored.snapshot.state);
             this.#appliedIndex = stored.snapshot.index;
             this.#snapshotIndex = stored.snapshot.index;
         }
-        this.#consensus.snapshotForPeers = () => this.#buildSnapshot();
+        this.#consensus.buildSnapshot = () => this.#buildSnapshot();
     }
 
-    /** Ends the leader's lease until a quorum confirms it anew; see {@link Consensus.distrustClock}. */
-    distrustClock(): void {
-        this.#consensus.distrustClock(this.#getNow());
+    /** Ends the leader's lease until a quorum confirms it anew; see {@link Consensus.invalidateLease}. */
+    invalidateLease(): void {
+        this.#consensus.invalidateLease(this.#getNow());
     }
 
     /** Starts the clock of this replica. */
     start(): void {
         // Messages that have arrived are read before the clock is looked at: after a pause of this
         // process a leader would resign, and a follower campaign, beside answers that came in time.
-        this.#ticks = interval(TICK_MS).subscribe(() => setImmediate(() => this.#tick()));
+        this.#tickSubscription = interval(TICK_MS).subscribe(() =>
+            setImmediate(() => this.#tick()),
+        );
         this.#tick();
     }
 
     #tick(): void {
-        if (this.#ticks?.closed === true) {
+        if (this.#tickSubscription?.closed === true) {
             return;
         }
         this.#consensus.tick(this.#getNow());
@@ -200,22 +212,22 @@
      * Asks another voter to lead, and waits a moment for it to do so.
      */
     async resign(): Promise<void> {
-        this.#consensus.resignTo();
+        this.#consensus.startLeadershipTransfer();
         void this.#runReady();
-        const until = this.#getNow() + RESIGN_WAIT_MS;
-        while (this.#consensus.role === "leader" && this.#getNow() < until) {
+        const deadlineMs = this.#getNow() + LEADERSHIP_TRANSFER_TIMEOUT_MS;
+        while (this.#consensus.role === "leader" && this.#getNow() < deadlineMs) {
             await new Promise((resolve) => setTimeout(resolve, TICK_MS));
         }
     }
 
     /** Stops the clock, waits for writes under way, closes the storage. */
     async stop(): Promise<void> {
-        this.#stopped = true;
-        this.#ticks?.unsubscribe();
+        this.#isStopped = true;
+        this.#tickSubscription?.unsubscribe();
         clearTimeout(this.#batchTimer);
-        await this.#running;
-        this.#refuseProposals();
-        for (const waiters of this.#replyWaiters.values()) {
+        await this.#readyLoop;
+        this.#rejectProposals();
+        for (const waiters of this.#responseWaiters.values()) {
             waiters.forEach((resolve) => resolve(undefined));
         }
         this.#options.storage.close();
@@ -253,7 +265,7 @@
 
     /** Whether this member leads, has applied all of earlier terms, and nobody else can lead. */
     get isServing(): boolean {
-        return this.#isLeadAnnounced && this.#consensus.hasLease(this.#getNow());
+        return this.#isLeadershipEstablished && this.#consensus.hasLease(this.#getNow());
     }
 
     /**
@@ -266,26 +278,28 @@
      * @returns Whether this member leads and nobody else can.
      */
     async waitServing(): Promise<boolean> {
-        const canComeBack =
-            this.#isLeadAnnounced && !this.#stopped && !this.#consensus.isHandingOver;
-        if (this.isServing || !canComeBack) {
+        const canRegainLease =
+            this.#isLeadershipEstablished &&
+            !this.#isStopped &&
+            !this.#consensus.isTransferringLeadership;
+        if (this.isServing || !canRegainLease) {
             return this.isServing;
         }
-        this.#confirming ??= this.#confirmLead().finally(() => {
-            this.#confirming = undefined;
+        this.#leaseConfirmation ??= this.#confirmLeadership().finally(() => {
+            this.#leaseConfirmation = undefined;
         });
-        await this.#confirming;
+        await this.#leaseConfirmation;
         return this.isServing;
     }
 
-    async #confirmLead(): Promise<void> {
+    async #confirmLeadership(): Promise<void> {
         const index = this.#consensus.propose([], this.#getNow());
         if (index === undefined) {
             return;
         }
-        const passed = this.#barriers.add(index);
+        const applied = this.#applyWaiters.waitFor(index);
         void this.#runReady();
-        await passed;
+        await applied;
     }
 
     /**
@@ -297,11 +311,11 @@
      * @throws {OutcomeUnknownError} When it may or may not happen.
      */
     propose(command: C): Promise<R> {
-        if (!this.#isLeadAnnounced || this.#stopped) {
+        if (!this.#isLeadershipEstablished || this.#isStopped) {
             return Promise.reject(new NotLeaderError(this.#consensus.leader));
         }
         return new Promise((resolve, reject) => {
-            this.#pending.push({ command, resolve, reject });
+            this.#pendingProposals.push({ command, resolve, reject });
             this.#batchTimer ??= setTimeout(
                 () => this.#proposePending(),
                 this.#options.batchWindowMs ?? DEFAULT_BATCH_WINDOW_MS,
@@ -317,20 +331,20 @@
      * @returns The response to a request, after what it promises is durable.
      */
     receive(from: MemberId, message: GroupMessage): Promise<GroupMessage | undefined> {
-        if (this.#stopped) {
+        if (this.#isStopped) {
             return Promise.resolve(undefined);
         }
         const isRequest = message.type !== "voteResponse" && message.type !== "appendResponse";
-        const reply = isRequest
+        const response = isRequest
             ? new Promise<GroupMessage | undefined>((resolve) => {
-                  const waiters = this.#replyWaiters.get(from) ?? [];
+                  const waiters = this.#responseWaiters.get(from) ?? [];
                   waiters.push(resolve);
-                  this.#replyWaiters.set(from, waiters);
+                  this.#responseWaiters.set(from, waiters);
               })
             : Promise.resolve(undefined);
         this.#consensus.receive(from, message, this.#getNow());
         void this.#runReady();
-        return reply;
+        return response;
     }
 
     /**
@@ -366,7 +380,11 @@
      *
      * @returns Each learner, when it last answered, and whether it holds the whole log.
      */
-    listLearners(): { readonly member: MemberId; readonly ackedAt: number; isCaughtUp: boolean }[] {
+    listLearners(): {
+        readonly member: MemberId;
+        readonly ackedAtMs: number;
+        isCaughtUp: boolean;
+    }[] {
         return this.#consensus.listLearners().map((learner) => ({
             ...learner,
             isCaughtUp:
@@ -381,27 +399,27 @@
      * @returns Whether the change was started.
      */
     proposeVoters(voters: readonly MemberId[]): boolean {
-        const started = this.#consensus.proposeVoters(voters) !== undefined;
+        const isStarted = this.#consensus.proposeVoters(voters) !== undefined;
         void this.#runReady();
-        return started;
+        return isStarted;
     }
 
     #proposePending(): void {
         this.#batchTimer = undefined;
-        const proposals = this.#pending;
-        this.#pending = [];
+        const proposals = this.#pendingProposals;
+        this.#pendingProposals = [];
         if (proposals.length === 0) {
             return;
         }
         const commands = proposals.map((p) => p.command);
-        const extra = this.#options.completeBatch?.(commands) ?? [];
-        const index = this.#consensus.propose([...commands, ...extra], this.#getNow());
+        const extraCommands = this.#options.completeBatch?.(commands) ?? [];
+        const index = this.#consensus.propose([...commands, ...extraCommands], this.#getNow());
         if (index === undefined) {
             const error = new NotLeaderError(this.#consensus.leader);
             proposals.forEach((p) => p.reject(error));
             return;
         }
-        this.#proposed.set(index, proposals);
+        this.#inFlightProposals.set(index, proposals);
         void this.#runReady();
     }
 
@@ -412,63 +430,63 @@
      * batch leave during the write too, which saves half a sync per commit under load.
      */
     #runReady(): Promise<void> {
-        if (this.#running !== undefined) {
-            this.#sendAll(this.#consensus.takeSendNow());
+        if (this.#readyLoop !== undefined) {
+            this.#sendAll(this.#consensus.takeMessagesBeforePersist());
             this.#applyCommitted();
             this.#updateLeadership();
         }
-        this.#running ??= this.#runUntilIdle().finally(() => {
-            this.#running = undefined;
-            if (this.#consensus.hasReady && !this.#stopped) {
+        this.#readyLoop ??= this.#runUntilIdle().finally(() => {
+            this.#readyLoop = undefined;
+            if (this.#consensus.hasReady && !this.#isStopped) {
                 void this.#runReady();
             }
         });
-        return this.#running;
+        return this.#readyLoop;
     }
 
     async #runUntilIdle(): Promise<void> {
         this.#updateLeadership();
         while (this.#consensus.hasReady) {
             const ready = this.#consensus.takeReady();
-            this.#sendAll(ready.sendNow);
-            await this.#appendDurably(ready);
+            this.#sendAll(ready.messagesBeforePersist);
+            await this.#writeReady(ready);
             const last = ready.entries.at(-1);
             if (last !== undefined) {
                 this.#consensus.confirmPersisted(last.index, last.term);
             }
-            this.#sendAll(ready.sendAfter);
+            this.#sendAll(ready.messagesAfterPersist);
             this.#applyCommitted();
             this.#updateLeadership();
-            await this.#takeSnapshot();
+            await this.#takeSnapshotIfDue();
         }
         this.#applyCommitted();
         this.#updateLeadership();
     }
 
-    async #appendDurably(ready: Ready): Promise<void> {
+    async #writeReady(ready: Ready): Promise<void> {
         for (;;) {
             try {
-                if (ready.install !== undefined) {
+                if (ready.snapshotToInstall !== undefined) {
                     await this.#options.storage.compact(
-                        ready.install,
+                        ready.snapshotToInstall,
                         [],
-                        ready.hard ?? this.#consensus.hard,
+                        ready.hardState ?? this.#consensus.hardState,
                     );
-                    this.#options.machine.restore(ready.install.state);
-                    this.#appliedIndex = ready.install.index;
-                    this.#snapshotIndex = ready.install.index;
+                    this.#options.machine.restore(ready.snapshotToInstall.state);
+                    this.#appliedIndex = ready.snapshotToInstall.index;
+                    this.#snapshotIndex = ready.snapshotToInstall.index;
                 }
-                const startedAt = performance.now();
-                await this.#options.storage.append(ready.entries, ready.hard);
+                const startedAtMs = performance.now();
+                await this.#options.storage.append(ready.entries, ready.hardState);
                 if (ready.entries.length > 0) {
-                    this.#options.onPersisted?.(performance.now() - startedAt);
+                    this.#options.onPersisted?.(performance.now() - startedAtMs);
                 }
                 return;
             } catch (error) {
                 // A full disk refuses writes. Nothing is confirmed or answered meanwhile, so the
                 // group goes on without this member and nobody counts on what it does not hold.
                 this.#options.onStorageError?.(error as Error);
-                if (this.#stopped) {
+                if (this.#isStopped) {
                     throw error;
                 }
                 await new Promise((resolve) => setTimeout(resolve, STORAGE_RETRY_MS));
@@ -476,11 +494,11 @@
         }
     }
 
-    #sendAll(outgoing: readonly Outgoing[]): void {
-        for (const { to, message } of outgoing) {
+    #sendAll(messages: readonly OutgoingMessage[]): void {
+        for (const { to, message } of messages) {
             const isResponse = message.type === "voteResponse" || message.type === "appendResponse";
             if (isResponse) {
-                this.#replyWaiters.get(to)?.shift()?.(message);
+                this.#responseWaiters.get(to)?.shift()?.(message);
             } else {
                 this.#options.transport.send(to, message);
             }
@@ -494,7 +512,7 @@
             this.#appliedIndex = entry.index;
         }
         if (entries.length > 0) {
-            this.#barriers.release(this.#appliedIndex);
+            this.#applyWaiters.resolveUpTo(this.#appliedIndex);
             this.#options.onApplied?.();
         }
     }
@@ -502,15 +520,15 @@
     #applyEntry(entry: LogEntry): void {
         const isOwnTerm = this.#consensus.role === "leader" && entry.term === this.#consensus.term;
         if (entry.type === "noop" && isOwnTerm) {
-            this.#isLeadAnnounced = true;
-            this.#leadingTerm = entry.term;
-            this.#options.onLead?.();
+            this.#isLeadershipEstablished = true;
+            this.#leaderTerm = entry.term;
+            this.#options.onLeadershipGained?.();
         }
         if (entry.type !== "commands") {
             return;
         }
-        const proposals = isOwnTerm ? this.#proposed.get(entry.index) : undefined;
-        this.#proposed.delete(entry.index);
+        const proposals = isOwnTerm ? this.#inFlightProposals.get(entry.index) : undefined;
+        this.#inFlightProposals.delete(entry.index);
         entry.commands.forEach((command, i) => {
             const result = this.#options.machine.apply(command as C);
             proposals?.[i]?.resolve(result);
@@ -518,47 +536,51 @@
     }
 
     #updateLeadership(): void {
-        const leads =
-            this.#consensus.role === "leader" && this.#consensus.term === this.#leadingTerm;
-        if (this.#isLeadAnnounced && !leads) {
-            this.#isLeadAnnounced = false;
-            this.#refuseProposals();
-            this.#options.onResign?.(this.#consensus.resignCause);
-        } else if (this.#consensus.role !== "leader" && this.#proposed.size > 0) {
-            this.#refuseProposals();
+        const isLeading =
+            this.#consensus.role === "leader" && this.#consensus.term === this.#leaderTerm;
+        if (this.#isLeadershipEstablished && !isLeading) {
+            this.#isLeadershipEstablished = false;
+            this.#rejectProposals();
+            this.#options.onLeadershipLost?.(this.#consensus.resignCause);
+        } else if (this.#consensus.role !== "leader" && this.#inFlightProposals.size > 0) {
+            this.#rejectProposals();
         }
     }
 
-    #refuseProposals(): void {
-        const unsent = this.#pending;
-        this.#pending = [];
-        unsent.forEach((p) => p.reject(new NotLeaderError(this.#consensus.leader)));
-        for (const proposals of this.#proposed.values()) {
+    #rejectProposals(): void {
+        const unproposed = this.#pendingProposals;
+        this.#pendingProposals = [];
+        unproposed.forEach((p) => p.reject(new NotLeaderError(this.#consensus.leader)));
+        for (const proposals of this.#inFlightProposals.values()) {
             proposals.forEach((p) => p.reject(new OutcomeUnknownError()));
         }
-        this.#proposed.clear();
-        this.#barriers.release(Number.POSITIVE_INFINITY);
+        this.#inFlightProposals.clear();
+        this.#applyWaiters.resolveUpTo(Number.POSITIVE_INFINITY);
     }
 
     #buildSnapshot(): Snapshot {
         const index = this.#appliedIndex;
         return {
             index,
-            ...this.#consensus.describeAt(index),
+            ...this.#consensus.getSnapshotMetadata(index),
             state: this.#options.machine.encode(),
         };
     }
 
-    async #takeSnapshot(): Promise<void> {
-        const every = this.#options.snapshotEvery ?? DEFAULT_SNAPSHOT_EVERY;
-        if (this.#appliedIndex - this.#snapshotIndex < every) {
+    async #takeSnapshotIfDue(): Promise<void> {
+        const intervalEntries = this.#options.snapshotEvery ?? DEFAULT_SNAPSHOT_INTERVAL_ENTRIES;
+        if (this.#appliedIndex - this.#snapshotIndex < intervalEntries) {
             return;
         }
         const snapshot = this.#buildSnapshot();
         this.#snapshotIndex = snapshot.index;
-        const rest = this.#consensus.compact(snapshot.index);
+        const remainingEntries = this.#consensus.compact(snapshot.index);
         try {
-            await this.#options.storage.compact(snapshot, rest, this.#consensus.hard);
+            await this.#options.storage.compact(
+                snapshot,
+                remainingEntries,
+                this.#consensus.hardState,
+            );
         } catch (error) {
             // The old snapshot and the whole log are still there; the next one tries again.
             this.#options.onStorageError?.(error as Error);
--- a/log/storage.ts
+++ b/log/storage.ts
@@ -36,13 +36,13 @@
 const syncData = promisify(fdatasync);
 const LOG_FILE = "log.jsonl";
 const SNAPSHOT_FILE = "snapshot.json";
-const FIRST_VOTERS_FILE = "first_voters.json";
+const INITIAL_VOTERS_FILE = "first_voters.json";
 
 /** Options of {@link FileStorage.open}. */
 export interface FileStorageOptions {
     readonly dir: string;
     /** The voters when the group begins; what an earlier start kept goes before it. */
-    readonly firstVoters?: readonly MemberId[];
+    readonly initialVoters?: readonly MemberId[];
 }
 
 /** One line of the log file. */
@@ -63,12 +63,12 @@
 /** A member's durable files. */
 export class FileStorage implements Storage {
     readonly #dir: string;
-    readonly #firstVoters: readonly MemberId[] | undefined;
+    readonly #initialVoters: readonly MemberId[] | undefined;
     #log: { readonly fd: number; readonly size: number } | undefined;
 
     private constructor(dir: string, firstVoters: readonly MemberId[] | undefined) {
         this.#dir = dir;
-        this.#firstVoters = firstVoters;
+        this.#initialVoters = firstVoters;
     }
 
     /**
@@ -80,16 +80,16 @@
      * @returns The storage; call {@link FileStorage.load} first.
      */
     static open(options: FileStorageOptions): FileStorage {
-        const { dir, firstVoters } = options;
+        const { dir, initialVoters } = options;
         mkdirSync(dir, { recursive: true });
-        const file = join(dir, FIRST_VOTERS_FILE);
+        const file = join(dir, INITIAL_VOTERS_FILE);
         if (existsSync(file)) {
             return new FileStorage(dir, JSON.parse(readFileSync(file, "utf8")) as MemberId[]);
         }
-        if (firstVoters !== undefined) {
-            writeDurable(dir, FIRST_VOTERS_FILE, JSON.stringify(firstVoters));
+        if (initialVoters !== undefined) {
+            writeFileDurably(dir, INITIAL_VOTERS_FILE, JSON.stringify(initialVoters));
         }
-        return new FileStorage(dir, firstVoters);
+        return new FileStorage(dir, initialVoters);
     }
 
     /**
@@ -102,11 +102,11 @@
     load(): StoredState {
         const snapshot = this.#loadSnapshot();
         const entries: LogEntry[] = [];
-        let hard: HardState = { term: 0, votedFor: undefined };
+        let hardState: HardState = { term: 0, votedFor: undefined };
         const base = snapshot?.index ?? 0;
         for (const record of this.#loadRecords()) {
             if ("hard" in record) {
-                hard = record.hard;
+                hardState = record.hard;
                 continue;
             }
             const { entry } = record;
@@ -117,14 +117,14 @@
             entries.length = Math.min(entries.length, entry.index - base - 1);
             entries.push(entry);
         }
-        return { firstVoters: this.#firstVoters, hard, snapshot, entries };
+        return { initialVoters: this.#initialVoters, hardState, snapshot, entries };
     }
 
     /** See {@link Storage.append}. */
-    async append(entries: readonly LogEntry[], hard: HardState | undefined): Promise<void> {
+    async append(entries: readonly LogEntry[], hardState: HardState | undefined): Promise<void> {
         const records: LogRecord[] = entries.map((entry) => ({ entry }));
-        if (hard !== undefined) {
-            records.push({ hard });
+        if (hardState !== undefined) {
+            records.push({ hard: hardState });
         }
         if (records.length === 0) {
             return;
@@ -149,13 +149,20 @@
     }
 
     /** See {@link Storage.compact}. */
-    async compact(snapshot: Snapshot, rest: readonly LogEntry[], hard: HardState): Promise<void> {
+    async compact(
+        snapshot: Snapshot,
+        remainingEntries: readonly LogEntry[],
+        hardState: HardState,
+    ): Promise<void> {
         // The snapshot first: a crash between the two renames leaves a snapshot and a log whose
         // older entries are skipped on load. The other order would lose the entries between.
-        await this.#writeReplacing(SNAPSHOT_FILE, `${formatLine(JSON.stringify(snapshot))}\n`);
-        const text = formatRecords([{ hard }, ...rest.map((entry) => ({ entry }))]);
+        await this.#replaceFile(SNAPSHOT_FILE, `${formatLine(JSON.stringify(snapshot))}\n`);
+        const text = formatRecords([
+            { hard: hardState },
+            ...remainingEntries.map((entry) => ({ entry })),
+        ]);
         this.close();
-        await this.#writeReplacing(LOG_FILE, text);
+        await this.#replaceFile(LOG_FILE, text);
     }
 
     /** Closes the log file. */
@@ -194,7 +201,7 @@
         const text = readFileSync(file, "utf8");
         const lines = text.split("\n");
         const records: LogRecord[] = [];
-        let goodBytes = 0;
+        let validBytes = 0;
         for (const [i, line] of lines.entries()) {
             const payload = line === "" ? undefined : parseLine(line);
             if (payload === undefined) {
@@ -204,17 +211,17 @@
                 break;
             }
             records.push(JSON.parse(payload) as LogRecord);
-            goodBytes += Buffer.byteLength(line) + 1;
+            validBytes += Buffer.byteLength(line) + 1;
         }
-        if (goodBytes < Buffer.byteLength(text)) {
+        if (validBytes < Buffer.byteLength(text)) {
             // Cut the torn end off, or the next append would join it and damage a good line.
-            writeWhole(file, Buffer.from(text).subarray(0, goodBytes).toString("utf8"));
+            replaceFile(file, Buffer.from(text).subarray(0, validBytes).toString("utf8"));
             syncDirectory(this.#dir);
         }
         return records;
     }
 
-    async #writeReplacing(name: string, text: string): Promise<void> {
+    async #replaceFile(name: string, text: string): Promise<void> {
         const temporary = join(this.#dir, `${name}.new`);
         const handle = await open(temporary, "w");
         await handle.writeFile(text);
@@ -230,7 +237,7 @@
 export class MemoryStorage implements Storage {
     /** Nothing is stored. */
     load(): StoredState {
-        return { hard: { term: 0, votedFor: undefined }, snapshot: undefined, entries: [] };
+        return { hardState: { term: 0, votedFor: undefined }, snapshot: undefined, entries: [] };
     }
 
     /** Does nothing. */
@@ -250,13 +257,13 @@
  * @param name The file's name.
  * @param text The contents.
  */
-export function writeDurable(dir: string, name: string, text: string): void {
+export function writeFileDurably(dir: string, name: string, text: string): void {
     mkdirSync(dir, { recursive: true });
-    writeWhole(join(dir, name), text);
+    replaceFile(join(dir, name), text);
     syncDirectory(dir);
 }
 
-function writeWhole(file: string, text: string): void {
+function replaceFile(file: string, text: string): void {
     const temporary = `${file}.new`;
     const fd = openSync(temporary, "w");
     writeFileSync(fd, text);
@@ -282,6 +289,6 @@
 
 function parseLine(line: string): string | undefined {
     const payload = line.slice(9);
-    const isGood = line[8] === " " && line.slice(0, 8) === formatLine(payload).slice(0, 8);
-    return isGood ? payload : undefined;
+    const isValid = line[8] === " " && line.slice(0, 8) === formatLine(payload).slice(0, 8);
+    return isValid ? payload : undefined;
 }
--- a/log/storage_test.ts
+++ b/log/storage_test.ts
@@ -6,7 +6,7 @@
 import { FileStorage, StorageCorruptError } from "./storage.ts";
 import type { LogEntry, MemberId } from "./types.ts";
 
-function buildDir(): string {
+function createTempDir(): string {
     return mkdtempSync(join(tmpdir(), "poplarhead-log-"));
 }
 
@@ -15,22 +15,22 @@
 }
 
 test("what was appended is read back; a replaced entry drops what followed it", async (t) => {
-    const dir = buildDir();
+    const dir = createTempDir();
     const storage = FileStorage.open({ dir });
     storage.load();
-    const hard = { term: 2, votedFor: "m1.0" as MemberId };
-    await storage.append([buildEntry(1), buildEntry(2), buildEntry(3)], hard);
+    const hardState = { term: 2, votedFor: "m1.0" as MemberId };
+    await storage.append([buildEntry(1), buildEntry(2), buildEntry(3)], hardState);
     await storage.append([buildEntry(2, 2, "other")], undefined);
     storage.close();
-    const again = FileStorage.open({ dir }).load();
-    t.deepEqual(again.hard, hard);
-    t.deepEqual(again.entries, [buildEntry(1), buildEntry(2, 2, "other")]);
+    const reloaded = FileStorage.open({ dir }).load();
+    t.deepEqual(reloaded.hardState, hardState);
+    t.deepEqual(reloaded.entries, [buildEntry(1), buildEntry(2, 2, "other")]);
 });
 
 test("a torn last line is cut off, and what is appended after it is read back", async (t) => {
     // The process died mid-write: the line was never fsynced, so nobody was answered for it.
     // Left in place, the next append would join it and turn a torn end into damage.
-    const dir = buildDir();
+    const dir = createTempDir();
     const storage = FileStorage.open({ dir });
     storage.load();
     await storage.append([buildEntry(1)], undefined);
@@ -46,7 +46,7 @@
 test("damage before the end is an error, never a shorter log", async (t) => {
     // A bit flipped on the disk in a line that was acknowledged. Reading on without it would
     // make the member deny what it promised; it refuses to start and names the line.
-    const dir = buildDir();
+    const dir = createTempDir();
     const storage = FileStorage.open({ dir });
     storage.load();
     await storage.append([buildEntry(1), buildEntry(2), buildEntry(3)], undefined);
@@ -63,7 +63,7 @@
     // The disk fills up in the middle of a write. The system call reports the part it took and no
     // error; synced and confirmed, the caller would be answered for an entry that is half there.
     // A limit on the file's size stands in for the full disk, in a process of its own.
-    const dir = buildDir();
+    const dir = createTempDir();
     const module = new URL("./storage.ts", import.meta.url).href;
     const script = `
         import { FileStorage } from ${JSON.stringify(module)};
@@ -91,17 +91,17 @@
 });
 
 test("a snapshot replaces the entries it covers, also when the crash came between the renames", async (t) => {
-    const dir = buildDir();
+    const dir = createTempDir();
     const storage = FileStorage.open({ dir });
     storage.load();
-    const hard = { term: 1, votedFor: undefined };
+    const hardState = { term: 1, votedFor: undefined };
     await storage.append(
         [1, 2, 3, 4].map((i) => buildEntry(i)),
-        hard,
+        hardState,
     );
     const fullLog = readFileSync(join(dir, "log.jsonl"));
     const snapshot = { index: 3, term: 1, voters: ["m1.0" as MemberId], state: "s" };
-    await storage.compact(snapshot, [buildEntry(4)], hard);
+    await storage.compact(snapshot, [buildEntry(4)], hardState);
     await storage.append([buildEntry(5)], undefined);
     storage.close();
     const stored = FileStorage.open({ dir }).load();
@@ -119,7 +119,7 @@
     t.teardown(() => rmSync(dir, { recursive: true }));
     const first = ["a#0", "b#0", "c#0"] as MemberId[];
     const later = ["b#0", "c#0", "d#0"] as MemberId[];
-    FileStorage.open({ dir, firstVoters: first }).close();
-    t.deepEqual(FileStorage.open({ dir, firstVoters: later }).load().firstVoters, first);
-    t.deepEqual(FileStorage.open({ dir }).load().firstVoters, first);
+    FileStorage.open({ dir, initialVoters: first }).close();
+    t.deepEqual(FileStorage.open({ dir, initialVoters: later }).load().initialVoters, first);
+    t.deepEqual(FileStorage.open({ dir }).load().initialVoters, first);
 });
--- a/log/types.ts
+++ b/log/types.ts
@@ -116,7 +116,7 @@
     VoteRequest | VoteResponse | AppendRequest | SnapshotRequest | TransferRequest | AppendResponse;
 
 /** A message with its receiver. */
-export interface Outgoing {
+export interface OutgoingMessage {
     readonly to: MemberId;
     readonly message: GroupMessage;
 }
@@ -124,8 +124,8 @@
 /** What a storage holds when it is opened. */
 export interface StoredState {
     /** The voters when the group began; `undefined` where storage does not keep them. */
-    readonly firstVoters?: readonly MemberId[];
-    readonly hard: HardState;
+    readonly initialVoters?: readonly MemberId[];
+    readonly hardState: HardState;
     readonly snapshot: Snapshot | undefined;
     /** The entries after the snapshot, in order. */
     readonly entries: readonly LogEntry[];
@@ -140,20 +140,23 @@
      * it and everything after it.
      *
      * @param entries The entries to append.
-     * @param hard The hard state, when it changed.
+     * @param hardState The hard state, when it changed.
      */
-    readonly append: (entries: readonly LogEntry[], hard: HardState | undefined) => Promise<void>;
+    readonly append: (
+        entries: readonly LogEntry[],
+        hardState: HardState | undefined,
+    ) => Promise<void>;
     /**
      * Replaces everything up to the snapshot by it.
      *
      * @param snapshot The snapshot.
-     * @param rest The entries after it that stay.
-     * @param hard The hard state.
+     * @param remainingEntries The entries after it that stay.
+     * @param hardState The hard state.
      */
     readonly compact: (
         snapshot: Snapshot,
-        rest: readonly LogEntry[],
-        hard: HardState,
+        remainingEntries: readonly LogEntry[],
+        hardState: HardState,
     ) => Promise<void>;
     /** Closes files. */
     readonly close: () => void;
--- a/membership/identity.ts
+++ b/membership/identity.ts
@@ -15,7 +15,7 @@
 import { existsSync, readFileSync } from "node:fs";
 import { join } from "node:path";
 import { ulid } from "ulid";
-import { writeDurable, type MemberId } from "../log/mod.ts";
+import { writeFileDurably, type MemberId } from "../log/mod.ts";
 import type { EntryId } from "./layout.ts";
 
 const IDENTITY_FILE = "identity.json";
@@ -45,7 +45,7 @@
         return (JSON.parse(readFileSync(file, "utf8")) as { incarnation: string }).incarnation;
     }
     const incarnation = options.bootstrap ? FIRST_INCARNATION : ulid();
-    writeDurable(options.dataDir, IDENTITY_FILE, `${JSON.stringify({ incarnation })}\n`);
+    writeFileDurably(options.dataDir, IDENTITY_FILE, `${JSON.stringify({ incarnation })}\n`);
     return incarnation;
 }
 
