--- a/log/_apply_waiters.ts
+++ b/log/_apply_waiters.ts
@@ -1,12 +1,13 @@
 /**
- * Waits for the log to be applied up to an index, without a command of the state machine.
+ * Tracks callers that wait until the log is applied up to an index.
  *
  * @example
  * ```ts
- * import { Barriers } from "./_apply_waiters.ts";
- * const barriers = new Barriers();
- * const passed = barriers.add(17);
- * barriers.release(17);
+ * import { ApplyWaiters } from "./_apply_waiters.ts";
+ * const waiters = new ApplyWaiters();
+ * const applied = waiters.waitFor(17);
+ * waiters.resolveUpTo(17);
+ * await applied;
  * ```
  *
  * @module
@@ -17,24 +18,24 @@
     readonly resolve: () => void;
 }
 
-/** Those who wait for indexes. */
+/** Holds a promise for each caller that waits for a log index to be applied. */
 export class ApplyWaiters {
     #waiters: Waiter[] = [];
 
     /**
-     * Waits for an index.
+     * Waits until an index is applied or leadership ends.
      *
-     * @param index The index.
-     * @returns Once it is applied, or the lead is over.
+     * @param index The log index.
+     * @returns Resolves in both cases; the caller checks which one it was.
      */
     waitFor(index: number): Promise<void> {
         return new Promise((resolve) => this.#waiters.push({ index, resolve }));
     }
 
     /**
-     * Lets those go on whose index is applied.
+     * Resolves the waiters whose index is applied.
      *
-     * @param appliedIndex The last applied index; infinity when the lead is over.
+     * @param appliedIndex The last applied index; infinity when leadership ended.
      */
     resolveUpTo(appliedIndex: number): void {
         const due = this.#waiters.filter(({ index }) => index <= appliedIndex);
--- a/log/_fixtures.ts
+++ b/log/_fixtures.ts
@@ -1,11 +1,11 @@
 /**
- * A deterministic group for tests: every member's agreement protocol, the messages between them
- * in one queue, and a disk per member that keeps only what was persisted before a crash.
+ * Simulates a group deterministically for tests: a consensus node per member, one message queue,
+ * and a disk per member that keeps only what was persisted before a crash.
  *
  * @example
  * ```ts
  * import { GroupFixture } from "./_fixtures.ts";
- * const group = new GroupFixture({ members: 3, seed: 1 });
+ * const group = new GroupFixture({ memberCount: 3, seed: 1 });
  * group.runFor(5_000);
  * ```
  *
@@ -33,7 +33,7 @@
     readonly seed: number;
 }
 
-/** A small group driven by plain calls. */
+/** A simulated group that the test drives step by step, with its own clock. */
 export class GroupFixture {
     readonly ids: MemberId[];
     readonly nodes = new Map<MemberId, Consensus>();
@@ -43,13 +43,13 @@
     #queue: InFlight[] = [];
     #random: () => number;
     now = 0;
-    /** Every committed entry seen anywhere, by index; a second, different one is a violation. */
+    /** Every entry that a member committed, by index; a different entry there is a violation. */
     readonly committed = new Map<number, LogEntry>();
     readonly violations: string[] = [];
     readonly #leaderByTerm = new Map<number, MemberId>();
 
     /**
-     * @param options How many members, and the seed of the election timeouts.
+     * @param options The number of members and the seed of the election timeouts.
      */
     constructor(options: GroupFixtureOptions) {
         this.#random = createRandom(options.seed);
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Starts (or restarts) a member from its disk. */
+    /** Starts or restarts a member from its disk. */
     startMember(id: MemberId): void {
         const disk = this.disks.get(id) as Disk;
         const stored: StoredState = {
@@ -81,13 +81,13 @@
         );
     }
 
-    /** Kills a member; what it did not persist is lost. */
+    /** Crashes a member; state that it did not persist is lost. */
     crashMember(id: MemberId): void {
         this.nodes.delete(id);
         this.#queue = this.#queue.filter((m) => m.to !== id);
     }
 
-    /** Cuts or heals the link between two members, both ways. */
+    /** Cuts or restores the link between two members in both directions. */
     setLink(a: MemberId, b: MemberId, isUp: boolean): void {
         for (const key of [`${a}|${b}`, `${b}|${a}`]) {
             if (isUp) {
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Cuts a member off from everybody, or heals it. */
+    /** Cuts or restores all links of a member. */
     setIsolated(id: MemberId, isIsolated: boolean): void {
         for (const other of this.ids) {
             if (other !== id) {
@@ -107,12 +107,12 @@
         }
     }
 
-    /** Heals every link. */
+    /** Restores every link. */
     restoreLinks(): void {
         this.#cutLinks.clear();
     }
 
-    /** Persists, sends and checks what a member has ready. */
+    /** Persists and sends all that a member has ready, then checks the invariants. */
     runMember(id: MemberId): void {
         const node = this.nodes.get(id);
         const disk = this.disks.get(id);
@@ -136,7 +136,7 @@
         this.#checkInvariants(id, node);
     }
 
-    /** Delivers one message, chosen by position in the queue, or loses it. */
+    /** Delivers or drops the message at a position in the queue. */
     handleMessage(position: number, isLost: boolean): void {
         const [item] = this.#queue.splice(position % Math.max(1, this.#queue.length), 1);
         if (item === undefined || isLost || this.#cutLinks.has(`${item.from}|${item.to}`)) {
@@ -146,7 +146,7 @@
         this.runMember(item.to);
     }
 
-    /** Moves the clock and ticks every member that is not frozen. */
+    /** Advances the clock and ticks every member except the frozen one. */
     advance(ms: number, frozen?: MemberId): void {
         this.now += ms;
         for (const [id, node] of this.nodes) {
@@ -157,7 +157,7 @@
         }
     }
 
-    /** Runs for a time with every message delivered in order. */
+    /** Advances the clock in steps of 50 ms and delivers all messages in order. */
     runFor(ms: number, frozen?: MemberId): void {
         for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += 50) {
             this.advance(50, frozen);
@@ -175,12 +175,12 @@
         }
     }
 
-    /** The member that leads and holds the lease, if any. */
+    /** The leader that holds a valid lease, if any. */
     get leader(): MemberId | undefined {
         return this.ids.find((id) => this.nodes.get(id)?.hasLease(this.now));
     }
 
-    /** Proposes one command at a member; returns the entry's index. */
+    /** Proposes one command at a member and returns the entry's index. */
     propose(id: MemberId, command: unknown): number | undefined {
         const index = this.nodes.get(id)?.propose([command]);
         this.runMember(id);
@@ -216,5 +216,4 @@
     }
 }
 
-/** Election timeouts come from here, so that a run repeats. */
 export { DEFAULT_TIMINGS };
--- a/log/_followers.ts
+++ b/log/_followers.ts
@@ -1,12 +1,13 @@
 /**
- * What a leader knows of the other members: how far each one's log is, and when it last answered.
+ * Tracks a leader's view of the other members: how far each one's log matches and when it last
+ * acknowledged a message.
  *
  * @example
  * ```ts
  * import { Followers } from "./_followers.ts";
  * const followers = new Followers(self);
  * followers.add(other, 18);
- * followers.computeQuorumContact(voters, now);
+ * followers.computeQuorumAckTimeMs(voters, now);
  * ```
  *
  * @module
@@ -14,22 +15,22 @@
 
 import type { MemberId } from "./types.ts";
 
-/** What the leader knows of one other member. */
+/** The replication progress of one member as seen by the leader. */
 export interface FollowerProgress {
     nextIndex: number;
     matchIndex: number;
-    /** When the newest message that this member answered was sent. */
+    /** Send time of the newest message that this member acknowledged. */
     ackedSentAtMs: number;
-    /** The index sent up to and not yet answered; avoids resending the same entries. */
+    /** The last index that was sent but not acknowledged; 0 if none. */
     inFlightIndex: number;
     lastSentAtMs: number;
-    /** The commit index it was told last. */
+    /** The commit index in the last append sent to this member. */
     sentCommitIndex: number;
-    /** When a snapshot left that was not answered yet; 0 when none is on its way. */
+    /** Send time of the unacknowledged snapshot; 0 if none is in flight. */
     snapshotSentAtMs: number;
 }
 
-/** The members that a leader sends its log to, voters and learners. */
+/** The voters and learners that a leader replicates its log to. */
 export class Followers {
     readonly #self: MemberId;
     readonly #progress = new Map<MemberId, FollowerProgress>();
@@ -41,17 +42,17 @@
         this.#self = self;
     }
 
-    /** Every member and what is known of it. */
+    /** Every tracked member and its progress. */
     get entries(): IterableIterator<[MemberId, FollowerProgress]> {
         return this.#progress.entries();
     }
 
     /**
-     * Adds a member, unless it is known or the leader itself.
+     * Adds a member unless it is already tracked or is the leader itself.
      *
      * @param member The member.
-     * @param nextIndex The first index to send it.
-     * @returns Whether it is new.
+     * @param nextIndex The first index to send to it.
+     * @returns Whether the member was added.
      */
     add(member: MemberId, nextIndex: number): boolean {
         if (member === this.#self || this.#progress.has(member)) {
@@ -70,17 +71,17 @@
     }
 
     /**
-     * Finds what is known of a member.
+     * Finds the progress of a member.
      *
      * @param member The member.
-     * @returns Its progress, or `undefined` when nothing is sent to it.
+     * @returns Its progress, or `undefined` if it is not tracked.
      */
     find(member: MemberId): FollowerProgress | undefined {
         return this.#progress.get(member);
     }
 
     /**
-     * Forgets a member.
+     * Stops tracking a member.
      *
      * @param member The member.
      */
@@ -88,12 +89,12 @@
         this.#progress.delete(member);
     }
 
-    /** Forgets all members. */
+    /** Stops tracking all members. */
     clear(): void {
         this.#progress.clear();
     }
 
-    /** Takes all answers so far for too old to tell anything about now. */
+    /** Discards all acknowledgment times, so that only later ones count towards the lease. */
     invalidateAcks(): void {
         for (const progress of this.#progress.values()) {
             progress.ackedSentAtMs = Number.NEGATIVE_INFINITY;
@@ -101,10 +102,10 @@
     }
 
     /**
-     * Computes up to which index a quorum holds the log.
+     * Computes the highest index that a quorum has persisted.
      *
      * @param voters The voters.
-     * @param persistedIndex How far the leader itself holds it durably.
+     * @param persistedIndex The last index that the leader itself persisted.
      * @returns The index.
      */
     computeQuorumIndex(voters: readonly MemberId[], persistedIndex: number): number {
@@ -115,11 +116,11 @@
     }
 
     /**
-     * Computes since when a quorum has answered: what was sent at that time, a quorum has seen.
+     * Computes the latest send time whose messages a quorum has acknowledged.
      *
-     * @param voters The voters; the leader counts as answering now if it is one of them.
+     * @param voters The voters; the leader counts as acknowledging now if it is one of them.
      * @param now The time in ms.
-     * @returns The time in ms; minus infinity when no quorum ever answered.
+     * @returns The time in ms; negative infinity if no quorum has acknowledged anything.
      */
     computeQuorumAckTimeMs(voters: readonly MemberId[], now: number): number {
         const ackTimesMs = voters.map((voter) =>
@@ -132,16 +133,16 @@
 }
 
 /**
- * Gives the size of a majority.
+ * Computes the size of the smallest majority.
  *
- * @param voterCount How many voters there are.
- * @returns The smallest majority.
+ * @param voterCount The number of voters.
+ * @returns The number of voters in a quorum.
  */
 export function computeQuorumSize(voterCount: number): number {
     return Math.floor(voterCount / 2) + 1;
 }
 
-/** The largest value that a quorum reaches or exceeds. */
+/** Selects the largest value that a quorum reaches or exceeds. */
 function selectQuorumValue(values: readonly number[]): number | undefined {
     const descending = [...values].sort((a, b) => b - a);
     return descending[computeQuorumSize(descending.length) - 1];
--- a/log/consensus.ts
+++ b/log/consensus.ts
@@ -1,15 +1,13 @@
 /**
- * The agreement protocol of one replicated group, pure: messages and the time go in, messages
- * and entries to persist come out. Leader election with terms and a pre-vote, quorum commit,
- * log repair, snapshots for members that are far behind, one-at-a-time changes of the voters,
- * and a leader lease that ends when a quorum goes silent.
+ * Implements the Raft consensus protocol without I/O, with pre-vote, leader leases, snapshots,
+ * learners and single-voter configuration changes.
  *
  * @example
  * ```ts
  * import { Consensus } from "./consensus.ts";
  * const node = new Consensus({ self, stored, random: Math.random, now: 0 });
  * node.tick(1_500);
- * const ready = node.takeReady();
+ * const ready = node.takeReady(); // persist and send its contents
  * ```
  *
  * @module
@@ -37,25 +35,22 @@
 const roleChart = loadChart(new URL("./role_chart.yaml", import.meta.url));
 const NO_GUARDS: ReadonlySet<string> = new Set();
 const MAX_ENTRIES_PER_APPEND = 256;
-/**
- * Members learn a commit with the next message, or after this many ms without one: rules come into
- * force and waiting callers are woken by replicas, which would otherwise lag by a heartbeat.
- */
+/** Delay before a new commit index is sent without waiting for the next heartbeat, in ms. */
 const COMMIT_NOTIFY_DELAY_MS = 20;
 const SNAPSHOT_RESEND_MS = 5_000;
-/** Entries kept in memory behind a snapshot, so a member slightly behind needs no snapshot. */
+/** Entries kept before a snapshot, so that a slightly lagging member needs no snapshot. */
 const SNAPSHOT_TRAILING_ENTRIES = 512;
 
 /**
- * Why a member led no more: a higher term came up, no quorum answered, it asked another to lead, or it votes no
- * more.
+ * The reason why leadership ended: a higher term, a lost quorum, a leadership transfer, or removal
+ * from the voters.
  */
 export type ResignCause = "higher_term" | "lose_quorum" | "transfer" | "dismiss";
 
-/** What a member that would lead knows of its election. */
+/** The state of an election that a member campaigns in. */
 export interface Campaign {
     readonly voters: number;
-    /** Voters that granted their (pre-)vote, this one included. */
+    /** Voters that granted their vote or pre-vote, including this member. */
     readonly granted: number;
     readonly lastIndex: number;
 }
@@ -63,50 +58,47 @@
 /** A member's role in its group. */
 export type Role = "learner" | "follower" | "pre_candidate" | "candidate" | "leader";
 
-/** Timings of a group, in ms. */
+/** The protocol timings of a group, in ms. */
 export interface ConsensusTimings {
-    /** Time between two heartbeats of the leader. */
+    /** Interval between the leader's heartbeats. */
     readonly heartbeatMs: number;
-    /** A follower campaigns after a silence between this and twice this, drawn at random. */
+    /** Minimum election timeout; the actual one is random, up to twice as long. */
     readonly electionMs: number;
 }
 
-/** Default timings: a failed leader is replaced in one to three seconds. */
+/** The default timings, which replace a failed leader in one to three seconds. */
 export const DEFAULT_TIMINGS: ConsensusTimings = { heartbeatMs: 250, electionMs: 1_000 };
 
 /** Options of {@link Consensus}. */
 export interface ConsensusOptions {
     readonly self: MemberId;
     readonly stored: StoredState;
-    /** The voters when the group starts for the first time, where the storage kept none. */
+    /** The voters of a new group, if the storage holds none. */
     readonly initialVoters?: readonly MemberId[];
     readonly timings?: ConsensusTimings;
-    /** A source of numbers in [0, 1), for election timeouts. */
+    /** Returns random numbers in [0, 1), used for election timeouts. */
     readonly random: () => number;
-    /** The time now, on a clock that never goes back, in ms. */
+    /** The current time on a monotonic clock, in ms. */
     readonly now: number;
-    /**
-     * When this member's process started, on the same clock; `now` by default. It answered no leader
-     * between the end of the process before and this time.
-     */
+    /** Start time of this process on the same clock, in ms; `now` by default. */
     readonly startedAtMs?: number;
 }
 
-/** What the caller must do: persist, then confirm; send; apply. */
+/** Work for the caller: messages to send and state to persist or install. */
 export interface Ready {
-    /** Messages that may leave before anything is persisted (a leader's appends). */
+    /** Messages that may be sent before anything is persisted, such as a leader's appends. */
     readonly messagesBeforePersist: readonly OutgoingMessage[];
     /** Entries to persist, in order. */
     readonly entries: readonly LogEntry[];
-    /** The hard state to persist, when it changed. */
+    /** The hard state to persist, if it changed. */
     readonly hardState: HardState | undefined;
-    /** A snapshot received from the leader: install it in place of all state. */
+    /** A snapshot from the leader, which replaces the log and the state machine. */
     readonly snapshotToInstall: Snapshot | undefined;
-    /** Messages that may leave only after the entries and the hard state are durable. */
+    /** Messages that may be sent only once the entries and the hard state are persisted. */
     readonly messagesAfterPersist: readonly OutgoingMessage[];
 }
 
-/** One member's side of the agreement. */
+/** Runs the consensus protocol of one member. */
 export class Consensus {
     readonly #self: MemberId;
     readonly #timings: ConsensusTimings;
@@ -132,16 +124,16 @@
     #quorumWaitStartMs = 0;
     readonly #followers: Followers;
     #termStartIndex = 0;
-    /** When it asked another member to lead: its lease is over, whatever the clock says. */
+    /** Start time of a leadership transfer, which ends the lease. */
     #transferStartMs: number | undefined;
     #resignCause: ResignCause = "higher_term";
-    /** Answers to what was sent before this time do not count for the lease. */
+    /** Acknowledgments of messages sent before this time do not renew the lease. */
     #acksValidFromMs = Number.NEGATIVE_INFINITY;
-    /** The snapshot to send to members that are far behind; kept by the caller. */
+    /** Builds the snapshot for members whose next entry is already compacted. */
     buildSnapshot: (() => Snapshot | undefined) | undefined;
 
     /**
-     * @param options Identity, what the storage held, timings; see {@link ConsensusOptions}.
+     * @param options The identity, stored state and timings; see {@link ConsensusOptions}.
      */
     constructor(options: ConsensusOptions) {
         this.#self = options.self;
@@ -159,9 +151,8 @@
         this.#votersIndex = index;
         this.#commitIndex = index;
         this.#persistedIndex = this.lastIndex;
-        // A restarted member may have answered a leader moments before its process ended: it keeps that
-        // leader's lease by refusing votes for one election timeout, as if it had heard from it when this
-        // process started. Counted from now, the time that the start took would lengthen each outage.
+        // Before its restart this member may have renewed a leader's lease. It refuses votes until
+        // that lease has expired, counted from the process start to keep an outage short.
         if (hardState.term > 0) {
             this.#lastLeaderContactMs = options.startedAtMs ?? options.now;
         }
@@ -170,27 +161,27 @@
         this.#scheduleFirstElection();
     }
 
-    /** The role now. */
+    /** The current role. */
     get role(): Role {
         return this.#role;
     }
 
-    /** The term now. */
+    /** The current term. */
     get term(): number {
         return this.#term;
     }
 
-    /** Whether this member asked another one to lead: its lease cannot come back. */
+    /** Whether a leadership transfer is under way, after which the lease cannot be renewed. */
     get isTransferringLeadership(): boolean {
         return this.#transferStartMs !== undefined;
     }
 
-    /** Why this member's last lead ended. */
+    /** The reason why this member's last leadership ended. */
     get resignCause(): ResignCause {
         return this.#resignCause;
     }
 
-    /** The election that this member asks for, or `undefined` when it asks for none. */
+    /** The election that this member campaigns in, or `undefined` if it does not campaign. */
     get campaign(): Campaign | undefined {
         if (this.#role !== "pre_candidate" && this.#role !== "candidate") {
             return undefined;
@@ -199,12 +190,12 @@
         return { voters: this.#voters.length, granted, lastIndex: this.lastIndex };
     }
 
-    /** The leader of the term, as far as known. */
+    /** The leader of the current term, if known. */
     get leader(): MemberId | undefined {
         return this.#leader;
     }
 
-    /** The voters of the newest configuration in the log. */
+    /** The voters of the latest configuration in the log, committed or not. */
     get voters(): readonly MemberId[] {
         return this.#voters;
     }
@@ -214,25 +205,25 @@
         return this.#log.lastIndex;
     }
 
-    /** The index up to which a quorum holds the log durably. */
+    /** The highest index known to be committed. */
     get commitIndex(): number {
         return this.#commitIndex;
     }
 
-    /** The last index that the newest snapshot covers. */
+    /** The index just before the first kept entry. */
     get baseIndex(): number {
         return this.#log.baseIndex;
     }
 
-    /** The hard state as it stands. */
+    /** The current hard state. */
     get hardState(): HardState {
         return { term: this.#term, votedFor: this.#votedFor };
     }
 
     /**
-     * Lists committed entries after an index.
+     * Lists the committed entries after an index.
      *
-     * @param after The last index already applied.
+     * @param after The last applied index.
      * @returns The entries, in order.
      */
     listCommitted(after: number): LogEntry[] {
@@ -240,12 +231,11 @@
     }
 
     /**
-     * Tells whether this member leads and a quorum confirmed it lately enough that nobody else
-     * can have been elected since. A member that was frozen and wakes up fails this check before
-     * it answers or sends anything, because the clock went on while it was frozen.
+     * Checks whether this member is the leader and a quorum acknowledged it recently enough that no
+     * other member can have been elected.
      *
      * @param now The time in ms.
-     * @returns True while no other leader can exist.
+     * @returns Whether the lease is valid.
      */
     hasLease(now: number): boolean {
         return (
@@ -258,9 +248,8 @@
     }
 
     /**
-     * Ends the lease until a quorum answers what is sent from now on. A machine that was suspended
-     * has a steady clock that stood still meanwhile: measured by it, answers from before the
-     * suspension look recent, although another leader may have been elected since.
+     * Invalidates the lease until a quorum acknowledges messages sent from now on. Needed after a
+     * suspension of the machine, during which a monotonic clock may stop.
      *
      * @param now The time in ms.
      */
@@ -271,7 +260,8 @@
     }
 
     /**
-     * Advances the clock: campaigns after a silence, sends heartbeats, steps down without quorum.
+     * Advances the clock. A leader sends heartbeats or steps down if it has lost its quorum; other
+     * voters campaign after the election timeout.
      *
      * @param now The time in ms.
      */
@@ -285,7 +275,7 @@
     }
 
     /**
-     * Takes a message from another member.
+     * Handles a message from another member.
      *
      * @param from The sender.
      * @param message The message.
@@ -316,11 +306,11 @@
     }
 
     /**
-     * Appends commands as one entry, if this member leads.
+     * Appends commands as one entry if this member is the leader.
      *
-     * @param commands The state machine's commands.
-     * @param now The time in ms; a quorum's answers count for the lease from then on.
-     * @returns The entry's index, or `undefined` when this member does not lead.
+     * @param commands The state machine commands.
+     * @param now The time in ms, used as the send time that a quorum acknowledges.
+     * @returns The entry's index, or `undefined` if this member is not the leader.
      */
     propose(commands: readonly unknown[], now = this.#now): number | undefined {
         this.#now = now;
@@ -331,14 +321,12 @@
     }
 
     /**
-     * Changes the voters by at most one member, if this member leads. Two changes at once could
-     * give two quorums that share no member, so a change waits until the one before it, and an
-     * entry of this term, are committed. It also waits until a quorum of the new voters answers: a leader that
-     * removed voters that were there, while others were lost for good, left a group that could never decide
-     * again. With this check each change can be agreed on by those who answer, and so can the one after it.
+     * Adds or removes one voter if this member is the leader. The previous change and an entry of
+     * this term must be committed, since concurrent changes could form disjoint quorums. A quorum
+     * of the new voters must be responding, so that the group can still commit afterwards.
      *
-     * @param voters The voters from now on.
-     * @returns The entry's index, or `undefined` when the change is not possible now.
+     * @param voters The new voters.
+     * @returns The entry's index, or `undefined` if the change is not allowed now.
      */
     proposeVoters(voters: readonly MemberId[]): number | undefined {
         const added = voters.filter((v) => !this.#voters.includes(v));
@@ -358,8 +346,8 @@
     }
 
     /**
-     * Asks the voter that holds the most of the log to lead instead, if this member leads. Its
-     * followers would otherwise miss the leader for a whole election timeout.
+     * Asks the most up-to-date other voter to take over leadership, so that a planned stop does not
+     * cost an election timeout.
      */
     startLeadershipTransfer(): void {
         const target = this.#voters
@@ -368,7 +356,7 @@
         if (this.#role !== "leader" || target === undefined) {
             return;
         }
-        // From here on the other may be elected at any time: no answer may rest on this lease.
+        // The target may be elected at any time from now on, so the lease is over.
         this.#transferStartMs = this.#now;
         const message: TransferRequest = {
             type: "transfer",
@@ -379,7 +367,7 @@
     }
 
     /**
-     * Starts sending the log to a member that does not vote.
+     * Starts replicating the log to a non-voting member.
      *
      * @param member The learner.
      */
@@ -390,7 +378,7 @@
     }
 
     /**
-     * Stops sending the log to a learner.
+     * Stops replicating the log to a learner.
      *
      * @param member The learner.
      */
@@ -401,19 +389,19 @@
     }
 
     /**
-     * Gives how far a member's log matches the leader's.
+     * Returns the last index at which a member's log is known to match the leader's.
      *
      * @param member The member.
-     * @returns The index, or `undefined` when unknown (not leading, no such member).
+     * @returns The index, or `undefined` if the member's progress is not tracked here.
      */
     getMatchIndex(member: MemberId): number | undefined {
         return member === this.#self ? this.lastIndex : this.#followers.find(member)?.matchIndex;
     }
 
     /**
-     * Lists members that receive the log without voting.
+     * Lists the learners that the log is replicated to.
      *
-     * @returns Each learner and when it last answered.
+     * @returns Each learner and the send time of the last message that it acknowledged, in ms.
      */
     listLearners(): { readonly member: MemberId; readonly ackedAtMs: number }[] {
         return [...this.#followers.entries]
@@ -421,7 +409,11 @@
             .map(([member, p]) => ({ member, ackedAtMs: p.ackedSentAtMs }));
     }
 
-    /** Forgets outgoing messages that could not be delivered to a member, so they are resent. */
+    /**
+     * Marks a member's in-flight messages as lost, so that they are sent again.
+     *
+     * @param member The member.
+     */
     handleUndelivered(member: MemberId): void {
         const progress = this.#followers.find(member);
         if (progress !== undefined) {
@@ -431,9 +423,9 @@
     }
 
     /**
-     * Takes what must be done next; see {@link Ready}.
+     * Takes the pending work; see {@link Ready}.
      *
-     * @returns The work; empty lists when there is none.
+     * @returns The work, with empty lists if there is none.
      */
     takeReady(): Ready {
         const ready: Ready = {
@@ -452,7 +444,7 @@
     }
 
     /**
-     * Takes only the messages that may leave before anything is persisted.
+     * Takes only the messages that may be sent before anything is persisted.
      *
      * @returns The messages.
      */
@@ -462,7 +454,7 @@
         return messages;
     }
 
-    /** Whether {@link takeReady} would give anything. */
+    /** Whether {@link takeReady} would return any work. */
     get hasReady(): boolean {
         return (
             this.#messagesBeforePersist.length > 0 ||
@@ -474,10 +466,10 @@
     }
 
     /**
-     * Notes that entries are durable here; a leader counts itself towards the quorum only then.
+     * Confirms that entries are persisted. A leader counts itself towards the quorum only then.
      *
-     * @param index The last durable index.
-     * @param term That entry's term; ignored if the entry was replaced meanwhile.
+     * @param index The last persisted index.
+     * @param term The term of that entry; the call has no effect if the entry was replaced.
      */
     confirmPersisted(index: number, term: number): void {
         if (this.#log.getTermAt(index) === term) {
@@ -487,10 +479,10 @@
     }
 
     /**
-     * Drops the entries that a snapshot of this member's state machine covers, but for a tail
-     * that spares a member slightly behind the whole snapshot.
+     * Removes the entries that a snapshot covers, except for a tail that lets slightly lagging
+     * members catch up without the snapshot.
      *
-     * @param index The snapshot's index (committed and applied).
+     * @param index The snapshot's index, which must be applied.
      * @returns The entries after the snapshot.
      */
     compact(index: number): LogEntry[] {
@@ -500,10 +492,10 @@
     }
 
     /**
-     * Describes the log at an index, for a snapshot taken there.
+     * Returns the term and the voters for a snapshot at an index.
      *
-     * @param index An index that is committed and not yet dropped.
-     * @returns The entry's term and the voters as of it.
+     * @param index A committed index that is not yet compacted.
+     * @returns The entry's term and the voters in effect at the index.
      */
     getSnapshotMetadata(index: number): { term: number; voters: readonly MemberId[] } {
         return {
@@ -514,8 +506,8 @@
 
     #tickLeader(now: number): void {
         const quorumSilenceMs = now - this.#followers.computeQuorumAckTimeMs(this.#voters, now);
-        // The request to lead may be lost or late. The lease cannot come back (the other may still
-        // campaign on it), so this member follows, and somebody is elected the ordinary way.
+        // The target may still campaign on a late request, so the lease cannot be renewed: step
+        // down and let a regular election follow.
         const isTransferOverdue = now - (this.#transferStartMs ?? now) > this.#timings.electionMs;
         const hasLostQuorum =
             quorumSilenceMs > this.#timings.electionMs &&
@@ -593,8 +585,8 @@
         for (const voter of this.#voters) {
             this.#followers.add(voter, this.lastIndex + 1);
         }
-        // An entry of an earlier term is committed only together with one of this term: counting
-        // copies alone could commit an entry that a later leader still overwrites.
+        // Entries of earlier terms are committed only by an entry of this term on top of them
+        // (Raft, section 5.4.2).
         this.#termStartIndex = this.#appendEntry({ type: "noop" });
     }
 
@@ -659,8 +651,8 @@
     }
 
     #handleVoteRequest(from: MemberId, message: VoteRequest): void {
-        // While it hears a leader, a member gives no vote and does not even take the higher term:
-        // otherwise a member that was cut off could depose a leader whose lease still runs.
+        // A member in contact with a leader ignores even a higher term. Otherwise a partitioned
+        // member could depose a leader that still holds its lease.
         const hasActiveLeader =
             this.#role === "leader"
                 ? this.hasLease(this.#now)
@@ -674,8 +666,8 @@
             this.#sendVoteResponse(from, true, granted ? message.term : this.#term, granted);
             return;
         }
-        // A member asked for its vote gives it even when its own log does not name it a voter yet:
-        // the candidate's may, and a group that just grew would otherwise wait for a dead leader.
+        // A learner may vote too: the candidate's log may contain a configuration with it as a
+        // voter that it has not received yet.
         if (hasActiveLeader && !message.isTransfer) {
             this.#sendVoteResponse(from, false, this.#term, false);
             return;
@@ -749,7 +741,7 @@
         this.#sendAppendResponse(from, true, lastMatchedIndex, message.sentAt);
     }
 
-    /** The leader is about to stop: campaign without the pre-vote, which its followers would refuse. */
+    /** Campaigns at the leader's request, without the pre-vote that its followers would refuse. */
     #handleTransfer(from: MemberId, message: TransferRequest): void {
         this.#sendAppendResponse(from, true, this.#commitIndex, message.sentAt);
         if (this.#role === "follower" && message.term === this.#term && this.#leader === from) {
@@ -777,7 +769,7 @@
         this.#sendAppendResponse(from, true, snapshot.index, message.sentAt);
     }
 
-    /** Takes the sender as the leader of its term, unless the term is over. */
+    /** Accepts the sender as the leader unless its term is outdated. */
     #acceptLeader(from: MemberId, term: number, sentAt: number): boolean {
         if (term < this.#term) {
             this.#sendAppendResponse(from, false, this.lastIndex + 1, sentAt);
@@ -851,7 +843,7 @@
         }
     }
 
-    /** Whether a quorum of the given voters answered within an election timeout. */
+    /** Checks whether a quorum of the given voters acknowledged within an election timeout. */
     #hasActiveQuorum(voters: readonly MemberId[]): boolean {
         const quorumAckTimeMs = this.#followers.computeQuorumAckTimeMs(voters, this.#now);
         return this.#now - quorumAckTimeMs <= this.#timings.electionMs;
@@ -885,17 +877,15 @@
     }
 
     /**
-     * Asks again soon whether this member would be elected. The pattern: all members come back from a loss of
-     * power within some 100 ms; the first to ask finds the others not up yet, or still keeping the lease of
-     * the leader before, and a whole election timeout more would be a part of the outage. A pre-vote disturbs
-     * nobody, because members that hear a leader refuse it.
+     * Schedules the retry of a failed pre-vote earlier than a full election timeout. This shortens
+     * the outage when all members restart together; a pre-vote does not disturb a running leader.
      */
     #setPreVoteRetryDeadline(): void {
         const minDelayMs = this.#timings.electionMs * PRE_VOTE_RETRY_FRACTION;
         this.#electionDeadlineMs = this.#now + minDelayMs * (1 + this.#random());
     }
 
-    /** A restarted member heard no leader yet: it asks once the lease of the one before is over. */
+    /** Schedules a restarted member's first pre-vote at the end of the previous leader's lease. */
     #scheduleFirstElection(): void {
         const leaseEndMs = this.#lastLeaderContactMs + this.#timings.electionMs;
         if (Number.isFinite(leaseEndMs)) {
@@ -913,7 +903,7 @@
         this.#persistedIndex = Math.min(this.#persistedIndex, index - 1);
     }
 
-    /** Takes the newest configuration in the log, committed or not, as the protocol asks. */
+    /** Switches to the latest configuration in the log, which applies before it is committed. */
     #updateVoters(): void {
         const { voters, index } = this.#log.findVotersAt(this.lastIndex);
         this.#voters = voters;
@@ -941,13 +931,10 @@
     }
 }
 
-/**
- * A pre-vote that was not won is repeated after this share of the election timeout, up to twice that: longer
- * than an answer takes from a process that just started (some 50 ms).
- */
+/** Minimum delay before a failed pre-vote is retried, as a fraction of the election timeout. */
 const PRE_VOTE_RETRY_FRACTION = 0.3;
 
-/** The role chart's event for each cause. */
+/** The role chart event for each cause. */
 const RESIGN_EVENTS: Readonly<Record<ResignCause, string>> = {
     higher_term: "follow",
     lose_quorum: "lose_quorum",
@@ -955,5 +942,5 @@
     dismiss: "dismiss",
 };
 
-/** A leader trusts its lease for this share of the election timeout: clocks may run unevenly. */
+/** Lease duration as a fraction of the election timeout, which allows for clock drift. */
 const LEASE_FRACTION = 0.8;
--- a/log/consensus_test.ts
+++ b/log/consensus_test.ts
@@ -15,8 +15,7 @@
 }
 
 test("a group elects one leader, commits by quorum and replaces a leader that died", (t) => {
-    // The operator sees commands go on being accepted after the leader's process is killed:
-    // the others miss its heartbeats, one of them wins a quorum, and nothing committed is lost.
+    // Guards against losing committed entries in a failover.
     const group = new GroupFixture({ memberCount: 3, seed: 7 });
     group.runFor(5_000);
     const first = getLeader(group);
@@ -32,9 +31,7 @@
 });
 
 test("an isolated leader loses its lease before another leader can hold one", (t) => {
-    // A control instance is cut off silently while it leads. It must stop answering before the
-    // others elect a successor; its uncommitted command never takes effect, and when the cut
-    // heals it follows, with the successor's log.
+    // Guards against split brain and against applying a partitioned leader's uncommitted entry.
     const group = new GroupFixture({ memberCount: 3, seed: 3 });
     group.runFor(5_000);
     const oldLeader = getLeader(group);
@@ -59,8 +56,7 @@
 });
 
 test("a frozen leader that wakes up holds no lease", (t) => {
-    // The leader's process is paused (SIGSTOP) past the election of a successor. On waking its
-    // memory says it leads; its clock went on, so its lease is over before it can answer.
+    // The process is paused (SIGSTOP) while a successor is elected and still has the leader role.
     const group = new GroupFixture({ memberCount: 3, seed: 11 });
     group.runFor(5_000);
     const oldLeader = getLeader(group);
@@ -74,9 +70,7 @@
 });
 
 test("a member that lost its disk is replaced by another incarnation, one voter at a time", (t) => {
-    // A second instance may be lost right after a repair. The leader adds the new incarnation,
-    // waits for the commit, then removes the old one; a second change before that is refused,
-    // because two changes at once could give two quorums that share no member.
+    // Two concurrent configuration changes could form disjoint quorums.
     const group = new GroupFixture({ memberCount: 3, seed: 5 });
     group.runFor(5_000);
     const leader = getLeader(group);
@@ -108,9 +102,7 @@
 });
 
 test("a follower that restarts keeps the lease of the leader it answered", (t) => {
-    // The leader may answer callers until its lease ends. One follower is cut off from it and
-    // campaigns; the other restarts, forgets that it just answered the leader, and would vote:
-    // two leaders could then answer at once. It refuses for one election timeout instead.
+    // A vote by the restarted follower could elect a second leader while the first holds its lease.
     const group = new GroupFixture({ memberCount: 3, seed: 21 });
     group.runFor(5_000);
     const leader = getLeader(group);
@@ -139,8 +131,7 @@
 });
 
 test("a leader that stops hands the lead over at once, and trusts its lease no more", (t) => {
-    // A rolling restart: without it, callers would find no leader for an election timeout at each
-    // instance. The old leader must not answer on its lease while the new one is elected.
+    // Guards against two lease holders during the transfer and an election timeout per restart.
     const group = new GroupFixture({ memberCount: 3, seed: 4 });
     group.runFor(5_000);
     const oldLeader = getLeader(group);
@@ -153,9 +144,7 @@
 });
 
 test("an entry of an earlier term is not committed by counting its copies", (t) => {
-    // A leader of term 2 died after storing an entry on a minority. Its successor in term 4 copies
-    // the entry to a quorum. Counted as committed now, it could still be overwritten by a member
-    // whose last entry is of term 3; so it waits for an entry of term 4 on top.
+    // A member whose last entry is of term 3 could still overwrite the replicated entry of term 2.
     const group = new GroupFixture({ memberCount: 3, seed: 2 });
     const [m1, m2] = group.ids as [MemberId, MemberId];
     const disk = group.disks.get(m1);
@@ -179,8 +168,7 @@
 });
 
 test("no schedule of losses, cuts, crashes and freezes breaks agreement", (t) => {
-    // Whatever the order of deliveries, losses, kills and restarts: at most one leader a term, at
-    // most one lease at a time, and no committed entry changes or disappears.
+    // Checks for one leader per term, one lease at a time and no change of committed entries.
     const step = fc.oneof(
         { weight: 6, arbitrary: fc.record({ kind: fc.constant("deliver"), n: fc.nat(30) }) },
         { weight: 1, arbitrary: fc.record({ kind: fc.constant("lose"), n: fc.nat(30) }) },
@@ -269,9 +257,7 @@
 }
 
 test("after a loss of power of all members a leader is there within one election timeout", (t) => {
-    // Callers wait through an outage of all members. They come back some tens of ms apart, keep the lease of
-    // the leader before for one election timeout from their start, and ask again soon when the first to ask
-    // found the others not up yet. Waiting a whole timeout again would double the outage.
+    // Guards against a second election timeout when the first pre-vote precedes the other starts.
     for (let seed = 1; seed <= 20; seed++) {
         const group = new GroupFixture({ memberCount: 3, seed });
         group.runFor(4_000);
@@ -286,7 +272,7 @@
         while (group.leader === undefined && group.now - lostAt < 5_000) {
             group.runFor(50);
         }
-        // The last start (200 ms), one timeout (1,000), the spread and the votes.
+        // The last start (200 ms), one election timeout (1,000 ms), jitter and voting.
         t.true(group.now - lostAt <= 200 + 1_000 + 650, `seed ${seed}: ${group.now - lostAt} ms`);
         t.deepEqual(group.violations, []);
     }
@@ -326,9 +312,7 @@
 });
 
 test("a change of the voters that would leave no quorum is not begun", (t) => {
-    // The operator's group never came back: two of six voters were lost with their disks, the four others elected a
-    // leader, and it removed voters that were there, for the sake of a plan that counted the lost ones. With the second
-    // removal three of four had to agree, and two were left. A change waits until enough of its voters answer.
+    // With two of six voters lost, removing live voters would leave the group without a quorum.
     const group = new GroupFixture({ memberCount: 6, seed: 17 });
     group.runFor(5_000);
     const [lost1, lost2] = group.ids.filter((id) => id !== getLeader(group));
@@ -345,7 +329,7 @@
     const index = group.propose(leader, "after the removals") as number;
     group.runFor(1_000);
     t.true(group.committed.has(index), "the group still decides");
-    // The lost ones may go: fewer have to agree then.
+    // Removing a lost voter is allowed, since it shrinks the quorum.
     for (const gone of [lost1, lost2] as MemberId[]) {
         t.not(
             node?.proposeVoters((node.voters ?? []).filter((voter) => voter !== gone)),
--- a/log/entry_log.ts
+++ b/log/entry_log.ts
@@ -1,6 +1,6 @@
 /**
- * The entries of one member's log behind its newest snapshot, with the voters that they set. It
- * knows nothing of terms' leaders or of messages: `consensus.ts` decides what enters it.
+ * Holds the log entries that follow a member's newest snapshot, and the voter configurations that
+ * they set.
  *
  * @example
  * ```ts
@@ -15,27 +15,27 @@
 
 import type { LogEntry, MemberId } from "./types.ts";
 
-/** Where the entries begin: what a snapshot, or the first start, says of the point before them. */
+/** The point just before the first kept entry, from a snapshot or the first start. */
 export interface LogBase {
-    /** The index of the last entry that is not kept. */
+    /** The index of the last compacted entry; 0 in a new log. */
     readonly index: number;
     readonly term: number;
     readonly voters: readonly MemberId[];
 }
 
-/** The voters in force at a point of the log, and the index that set them. */
+/** The voters in effect at a point of the log, and the index of the entry that set them. */
 export interface VoterConfiguration {
     readonly voters: readonly MemberId[];
     readonly index: number;
 }
 
-/** Entries in order, without gaps. */
+/** A contiguous sequence of log entries. */
 export class EntryLog {
     #base: LogBase;
     #entries: LogEntry[];
 
     /**
-     * @param options Where the entries begin, and the entries that storage held.
+     * @param options The base of the log and the stored entries after it.
      */
     constructor(options: LogBase & { readonly entries: readonly LogEntry[] }) {
         const { index, term, voters, entries } = options;
@@ -43,31 +43,31 @@
         this.#entries = [...entries];
     }
 
-    /** The index of the newest entry, or of the base. */
+    /** The index of the newest entry, or of the base if there are none. */
     get lastIndex(): number {
         return this.#entries.at(-1)?.index ?? this.#base.index;
     }
 
-    /** The index before the first entry that is kept. */
+    /** The index just before the first kept entry. */
     get baseIndex(): number {
         return this.#base.index;
     }
 
     /**
-     * Adds an entry behind the newest one.
+     * Appends an entry.
      *
-     * @param entry The entry; its index is the last index and one.
+     * @param entry The entry; its index must be the last index plus one.
      */
     append(entry: LogEntry): void {
         this.#entries.push(entry);
     }
 
     /**
-     * Lists entries after one index up to another.
+     * Lists the kept entries in a range of indexes.
      *
-     * @param after The index before the first one listed.
-     * @param upTo The last one listed.
-     * @returns The entries that are kept, in order.
+     * @param after The start of the range, exclusive.
+     * @param upTo The end of the range, inclusive.
+     * @returns The entries in order.
      */
     listBetween(after: number, upTo: number): LogEntry[] {
         return this.#entries.slice(
@@ -77,10 +77,10 @@
     }
 
     /**
-     * Gives the term of an entry.
+     * Returns the term of an entry.
      *
-     * @param index The entry, or the base.
-     * @returns Its term, or `undefined` when it is not kept or not there yet.
+     * @param index The index of the entry or of the base.
+     * @returns The term, or `undefined` if the entry was compacted or does not exist.
      */
     getTermAt(index: number): number | undefined {
         if (index === this.#base.index) {
@@ -90,10 +90,10 @@
     }
 
     /**
-     * Finds the voters as of an index: those that the newest entry up to there set.
+     * Finds the voters in effect at an index.
      *
      * @param index The index.
-     * @returns The voters, and the index that set them.
+     * @returns The voters and the index of the entry that set them.
      */
     findVotersAt(index: number): VoterConfiguration {
         for (let i = this.#entries.length - 1; i >= 0; i--) {
@@ -106,18 +106,18 @@
     }
 
     /**
-     * Drops an entry and all behind it: another leader's log has others there.
+     * Removes an entry and all later ones, which conflict with the leader's log.
      *
-     * @param index The first entry that goes.
+     * @param index The first index to remove.
      */
     removeFrom(index: number): void {
         this.#entries = this.#entries.filter((entry) => entry.index < index);
     }
 
     /**
-     * Drops the entries up to an index, which a snapshot covers.
+     * Removes the entries up to an index that a snapshot covers.
      *
-     * @param index The new base; an older one changes nothing.
+     * @param index The new base; no effect if it is before the current one.
      */
     compact(index: number): void {
         const base = Math.max(this.#base.index, index);
@@ -130,9 +130,9 @@
     }
 
     /**
-     * Replaces everything by what a snapshot says.
+     * Discards all entries and continues from a snapshot.
      *
-     * @param base Where the log goes on.
+     * @param base The new base.
      */
     replace(base: LogBase): void {
         this.#base = base;
--- a/log/entry_log_test.ts
+++ b/log/entry_log_test.ts
@@ -43,8 +43,7 @@
 });
 
 test("voters set by an entry that is dropped from the end are not in force any more", (t) => {
-    // A leader that was replaced before its change of the voters was agreed on: members that counted
-    // by the dropped voters could elect two leaders.
+    // Members that still counted a removed configuration could elect two leaders.
     const log = buildLog();
     log.removeFrom(12);
     t.is(log.lastIndex, 11);
--- a/log/mod.ts
+++ b/log/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The replicated, durable log: agreement between the members of a group, its storage, and the
- * replica of a state machine on top of both.
+ * Implements the replicated log: the consensus protocol, its durable storage, and a replicated
+ * state machine on top of both.
  *
  * @example
  * ```ts
--- a/log/replica.ts
+++ b/log/replica.ts
@@ -1,8 +1,6 @@
 /**
- * One member's replica of a group's state machine: it ties the agreement protocol to a storage,
- * a transport and the state machine. Commands proposed within a short window share one entry,
- * one fsync and one round to the other members; what a command leads to leaves only after a
- * quorum holds it durably.
+ * Replicates a state machine by connecting the consensus protocol to a storage and a transport.
+ * Commands proposed within a short window share one log entry.
  *
  * @example
  * ```ts
@@ -35,13 +33,13 @@
     Storage,
 } from "./types.ts";
 
-/** A deterministic state machine: the same commands in the same order give the same state. */
+/** A deterministic state machine: the same commands in the same order yield the same state. */
 export interface StateMachine<C, R> {
     /**
      * Applies one committed command.
      *
      * @param command The command.
-     * @returns What the proposer is told.
+     * @returns The result for the proposer.
      */
     readonly apply: (command: C) => R;
     /** Encodes the whole state. */
@@ -49,33 +47,33 @@
     /**
      * Replaces the whole state.
      *
-     * @param state What {@link StateMachine.encode} gave.
+     * @param state A state encoded by {@link StateMachine.encode}.
      */
     readonly restore: (state: string) => void;
 }
 
-/** Carries messages to other members. */
+/** Sends messages to other members. */
 export interface Transport {
     /**
-     * Sends a request to a member; its response comes back through {@link Replica.receive}.
+     * Sends a request to a member, whose response is passed to {@link Replica.receive}.
      *
-     * @param to The receiver.
+     * @param to The recipient.
      * @param message The message.
      */
     readonly send: (to: MemberId, message: GroupMessage) => void;
 }
 
-/** What a replica tells its owner. */
+/** Callbacks of a replica. */
 export interface ReplicaEvents {
-    /** Committed entries were applied; on the leader, effects may leave now. */
+    /** Called after committed entries were applied; the leader may now perform their effects. */
     readonly onApplied?: () => void;
-    /** This member leads, and everything of earlier terms is applied. */
+    /** Called when this member is the leader and has applied all entries of earlier terms. */
     readonly onLeadershipGained?: () => void;
-    /** This member leads no more, and why. */
+    /** Called when this member's leadership ended. */
     readonly onLeadershipLost?: (cause: ResignCause) => void;
-    /** A write to the storage took this long, in ms. */
+    /** Called after entries were persisted, with the duration in ms. */
     readonly onPersisted?: (durationMs: number) => void;
-    /** Writing to the storage failed; it is tried again. */
+    /** Called when a write to the storage failed; it is retried. */
     readonly onStorageError?: (error: Error) => void;
 }
 
@@ -85,32 +83,29 @@
     readonly storage: Storage;
     readonly machine: StateMachine<C, R>;
     readonly transport: Transport;
-    /** The voters when the group starts for the first time. */
+    /** The voters of a new group. */
     readonly initialVoters: readonly MemberId[];
     readonly timings?: ConsensusTimings;
-    /** Commands proposed within this many ms share one entry. */
+    /** Time in which proposed commands are batched into one entry, in ms. */
     readonly batchWindowMs?: number;
-    /**
-     * Gives commands that the owner puts behind a batch, such as a tick that places what the
-     * batch submitted: one round of the group then does both.
-     */
+    /** Returns commands to append to a batch before it is proposed. */
     readonly completeBatch?: (commands: readonly C[]) => readonly C[];
-    /** A snapshot is taken after this many entries. */
+    /** Number of entries between snapshots. */
     readonly snapshotEvery?: number;
     readonly random?: () => number;
-    /** A clock that never goes back, in ms. */
+    /** Returns the time of a monotonic clock, in ms. */
     readonly getNow?: () => number;
-    /** When this process started, on that clock, if known; see {@link Consensus}. */
+    /** Start time of this process on that clock, in ms, if known. */
     readonly startedAt?: number;
 }
 
-/** Thrown when a command could not be proposed: it did not and will not happen. */
+/** Thrown when a command was not proposed because this member is not the leader. */
 export class NotLeaderError extends Error {
-    /** The leader, as far as known. */
+    /** The leader, if known. */
     readonly leader: MemberId | undefined;
 
     /**
-     * @param leader The leader, as far as known.
+     * @param leader The leader, if known.
      */
     constructor(leader: MemberId | undefined) {
         super(`not the leader${leader === undefined ? "" : `; ${leader} is`}`);
@@ -119,7 +114,7 @@
     }
 }
 
-/** Thrown when leadership ended before a command was committed: it may or may not happen. */
+/** Thrown when leadership ended before a command was committed; it may still be applied. */
 export class OutcomeUnknownError extends Error {
     constructor() {
         super("leadership ended before a quorum confirmed the command; it may still take effect");
@@ -139,7 +134,7 @@
 const DEFAULT_BATCH_WINDOW_MS = 2;
 const DEFAULT_SNAPSHOT_INTERVAL_ENTRIES = 2_000;
 
-/** One member's replica. */
+/** A member's replica of a state machine. */
 export class Replica<C, R> {
     readonly #options: ReplicaOptions<C, R>;
     readonly #consensus: Consensus;
@@ -162,7 +157,7 @@
     #isStopped = false;
 
     /**
-     * @param options Identity, storage, state machine, transport; see {@link ReplicaOptions}.
+     * @param options The identity, storage, machine and transport; see {@link ReplicaOptions}.
      */
     constructor(options: ReplicaOptions<C, R>) {
         this.#options = options;
@@ -185,15 +180,15 @@
         this.#consensus.buildSnapshot = () => this.#buildSnapshot();
     }
 
-    /** Ends the leader's lease until a quorum confirms it anew; see {@link Consensus.invalidateLease}. */
+    /** Invalidates the lease until it is renewed; see {@link Consensus.invalidateLease}. */
     invalidateLease(): void {
         this.#consensus.invalidateLease(this.#getNow());
     }
 
-    /** Starts the clock of this replica. */
+    /** Starts the timer of this replica. */
     start(): void {
-        // Messages that have arrived are read before the clock is looked at: after a pause of this
-        // process a leader would resign, and a follower campaign, beside answers that came in time.
+        // setImmediate lets received messages be handled first. After a pause of the process, they
+        // can keep a leader from stepping down and a follower from campaigning.
         this.#tickSubscription = interval(TICK_MS).subscribe(() =>
             setImmediate(() => this.#tick()),
         );
@@ -208,9 +203,7 @@
         void this.#runReady();
     }
 
-    /**
-     * Asks another voter to lead, and waits a moment for it to do so.
-     */
+    /** Transfers leadership to another voter and waits a limited time for it to take over. */
     async resign(): Promise<void> {
         this.#consensus.startLeadershipTransfer();
         void this.#runReady();
@@ -220,7 +213,7 @@
         }
     }
 
-    /** Stops the clock, waits for writes under way, closes the storage. */
+    /** Stops the timer, waits for pending writes and closes the storage. */
     async stop(): Promise<void> {
         this.#isStopped = true;
         this.#tickSubscription?.unsubscribe();
@@ -233,27 +226,27 @@
         this.#options.storage.close();
     }
 
-    /** The role now. */
+    /** The current role. */
     get role(): Role {
         return this.#consensus.role;
     }
 
-    /** The term now. */
+    /** The current term. */
     get term(): number {
         return this.#consensus.term;
     }
 
-    /** The leader, as far as known. */
+    /** The leader, if known. */
     get leader(): MemberId | undefined {
         return this.#consensus.leader;
     }
 
-    /** The voters. */
+    /** The voters of the latest configuration. */
     get voters(): readonly MemberId[] {
         return this.#consensus.voters;
     }
 
-    /** The election that this member asks for, or `undefined` when it asks for none. */
+    /** The election that this member campaigns in, or `undefined` if it does not campaign. */
     get campaign(): Campaign | undefined {
         return this.#consensus.campaign;
     }
@@ -263,19 +256,17 @@
         return this.#appliedIndex;
     }
 
-    /** Whether this member leads, has applied all of earlier terms, and nobody else can lead. */
+    /** Whether this member is the leader, has a valid lease and applied all earlier terms. */
     get isServing(): boolean {
         return this.#isLeadershipEstablished && this.#consensus.hasLease(this.#getNow());
     }
 
     /**
-     * Waits until it is sure that nobody else leads, if this member does. A lease lapses in each turn of the event
-     * loop that is longer, while no other member could be elected yet. Sent on, a call would find no other leader
-     * and come back to the same; an order not sent would count as unanswered, and its worker as silent. One
-     * round to a quorum (10 to 20 ms, shared by all that wait) tells which it is: it ends with a valid lease, or
-     * with the lead.
+     * Waits until a leader whose lease has expired either renews it or loses leadership. A blocked
+     * event loop can let the lease expire although no other member was elected. All callers share
+     * one round to the quorum.
      *
-     * @returns Whether this member leads and nobody else can.
+     * @returns Whether this member is the leader with a valid lease.
      */
     async waitServing(): Promise<boolean> {
         const canRegainLease =
@@ -306,9 +297,9 @@
      * Proposes a command.
      *
      * @param command The command.
-     * @returns What the state machine answered, once a quorum holds the command durably.
-     * @throws {NotLeaderError} When it will not happen.
-     * @throws {OutcomeUnknownError} When it may or may not happen.
+     * @returns The state machine's result, once the command is committed and applied.
+     * @throws {NotLeaderError} If the command was not proposed.
+     * @throws {OutcomeUnknownError} If leadership ended and the command may still be applied.
      */
     propose(command: C): Promise<R> {
         if (!this.#isLeadershipEstablished || this.#isStopped) {
@@ -324,11 +315,11 @@
     }
 
     /**
-     * Takes a message from another member.
+     * Handles a message from another member.
      *
      * @param from The sender.
      * @param message A request or a response.
-     * @returns The response to a request, after what it promises is durable.
+     * @returns The response to a request, once the state that it confirms is persisted.
      */
     receive(from: MemberId, message: GroupMessage): Promise<GroupMessage | undefined> {
         if (this.#isStopped) {
@@ -348,7 +339,7 @@
     }
 
     /**
-     * Notes that messages to a member were lost, so that they are sent again.
+     * Marks a member's in-flight messages as lost, so that they are sent again.
      *
      * @param member The member.
      */
@@ -357,7 +348,7 @@
     }
 
     /**
-     * Sends the log to a member that does not vote.
+     * Starts replicating the log to a non-voting member.
      *
      * @param member The learner.
      */
@@ -367,7 +358,7 @@
     }
 
     /**
-     * Stops sending the log to a learner.
+     * Stops replicating the log to a learner.
      *
      * @param member The learner.
      */
@@ -376,9 +367,10 @@
     }
 
     /**
-     * Lists the members that receive the log without voting.
+     * Lists the learners that the log is replicated to.
      *
-     * @returns Each learner, when it last answered, and whether it holds the whole log.
+     * @returns Each learner, the send time of the last message that it acknowledged, in ms, and
+     *     whether it holds all committed entries.
      */
     listLearners(): {
         readonly member: MemberId;
@@ -393,10 +385,10 @@
     }
 
     /**
-     * Changes the voters by one member; see {@link Consensus.proposeVoters}.
+     * Adds or removes one voter; see {@link Consensus.proposeVoters}.
      *
-     * @param voters The voters from now on.
-     * @returns Whether the change was started.
+     * @param voters The new voters.
+     * @returns Whether the change was proposed.
      */
     proposeVoters(voters: readonly MemberId[]): boolean {
         const isStarted = this.#consensus.proposeVoters(voters) !== undefined;
@@ -424,10 +416,9 @@
     }
 
     /**
-     * Does what the protocol asks, one batch after another, until nothing is left. While a write is
-     * under way, what does not wait for it goes on: a leader whose disk hangs would otherwise
-     * miss its heartbeats and hold up what the other two have made durable. Appends of the next
-     * batch leave during the write too, which saves half a sync per commit under load.
+     * Processes pending work until there is none. While a write is in progress, messages that do
+     * not depend on it are still sent and committed entries applied, so that a slow disk does not
+     * delay heartbeats.
      */
     #runReady(): Promise<void> {
         if (this.#readyLoop !== undefined) {
@@ -483,8 +474,8 @@
                 }
                 return;
             } catch (error) {
-                // A full disk refuses writes. Nothing is confirmed or answered meanwhile, so the
-                // group goes on without this member and nobody counts on what it does not hold.
+                // Retry without confirming or responding, so that no member counts on state that
+                // is not persisted. The rest of the group continues meanwhile.
                 this.#options.onStorageError?.(error as Error);
                 if (this.#isStopped) {
                     throw error;
@@ -582,7 +573,7 @@
                 this.#consensus.hardState,
             );
         } catch (error) {
-            // The old snapshot and the whole log are still there; the next one tries again.
+            // The previous snapshot and the log remain; the next snapshot is a new attempt.
             this.#options.onStorageError?.(error as Error);
         }
     }
--- a/log/storage.ts
+++ b/log/storage.ts
@@ -1,7 +1,6 @@
 /**
- * Where a member keeps its part of a group. `FileStorage` appends checksummed lines to a log
- * file and fsyncs before it answers; snapshots replace the file by rename. `MemoryStorage` is
- * for members without a disk, which never vote.
+ * Persists the log and snapshots of a group member. `FileStorage` appends checksummed lines to a
+ * log file and syncs them; `MemoryStorage` stores nothing and is for members that never vote.
  *
  * @example
  * ```ts
@@ -41,18 +40,18 @@
 /** Options of {@link FileStorage.open}. */
 export interface FileStorageOptions {
     readonly dir: string;
-    /** The voters when the group begins; what an earlier start kept goes before it. */
+    /** The voters of the group's first start; ignored if an earlier start stored them. */
     readonly initialVoters?: readonly MemberId[];
 }
 
-/** One line of the log file. */
+/** The payload of one line of the log file. */
 type LogRecord = { readonly entry: LogEntry } | { readonly hard: HardState };
 
-/** Thrown when a file holds damage that a crash alone cannot explain. */
+/** Thrown when a file is corrupt in a way that a crash during a write cannot cause. */
 export class StorageCorruptError extends Error {
     /**
-     * @param file The damaged file.
-     * @param line The bad line's number, from 1; 0 for the whole file.
+     * @param file The corrupt file.
+     * @param line The number of the corrupt line, from 1; 0 for the whole file.
      */
     constructor(file: string, line: number) {
         super(`${file}:${line}: damaged before its end; replace this member's disk`);
@@ -60,7 +59,7 @@
     }
 }
 
-/** A member's durable files. */
+/** Stores a member's log and snapshot in files. */
 export class FileStorage implements Storage {
     readonly #dir: string;
     readonly #initialVoters: readonly MemberId[] | undefined;
@@ -72,12 +71,12 @@
     }
 
     /**
-     * Opens (or creates) the folder. The first voters are kept: until a snapshot or an entry of the log names
-     * voters, a restarted member would otherwise take those that its settings name by then. Members with
-     * different lists count different quorums, and two of them could lead in one term.
+     * Opens or creates the folder and stores the initial voters on the first start. Reading them
+     * from the settings at each start could let members count different quorums and elect two
+     * leaders in one term.
      *
-     * @param options The folder, the voters when the group begins.
-     * @returns The storage; call {@link FileStorage.load} first.
+     * @param options The folder and the initial voters.
+     * @returns The storage; call {@link FileStorage.load} before any other method.
      */
     static open(options: FileStorageOptions): FileStorage {
         const { dir, initialVoters } = options;
@@ -93,11 +92,11 @@
     }
 
     /**
-     * Reads the snapshot and the log. A torn end (the process died mid-write, before its fsync,
-     * so nobody was answered for it) is dropped; damage before the end throws.
+     * Loads the snapshot and the log. A torn last line is discarded: the process died before its
+     * sync, so the write was never acknowledged.
      *
-     * @returns What is stored.
-     * @throws {StorageCorruptError} On damage that is not a torn end.
+     * @returns The stored state.
+     * @throws {StorageCorruptError} If a file is corrupt other than at the end of the log.
      */
     load(): StoredState {
         const snapshot = this.#loadSnapshot();
@@ -113,7 +112,7 @@
             if (entry.index <= base) {
                 continue;
             }
-            // An entry written again at an index replaces it and what followed (log repair).
+            // A later record at the same index replaces the entry and all that follow it.
             entries.length = Math.min(entries.length, entry.index - base - 1);
             entries.push(entry);
         }
@@ -133,15 +132,13 @@
         const { fd, size } = this.#openLog();
         const bytes = Buffer.from(text);
         try {
-            // The write only fills the page cache; the sync is what takes long, and runs beside
-            // the event loop so that heartbeats go on meanwhile.
-            // writeFileSync writes all or throws; one writeSync may stop short on a full disk, and the
-            // sync of half a line would be taken for a durable entry.
+            // The write only fills the page cache; the slow sync runs off the event loop, so that
+            // heartbeats continue. A single writeSync may write only part of the data on a full
+            // disk; writeFileSync writes everything or throws.
             writeFileSync(fd, bytes);
             await syncData(fd);
         } catch (error) {
-            // A full disk may have taken part of the text. Cut it off, so that the retry does not
-            // join a torn line in the middle of the file, which would read as damage.
+            // Remove a partial write, or the retry would leave a corrupt line inside the file.
             ftruncateSync(fd, size);
             throw error;
         }
@@ -154,8 +151,8 @@
         remainingEntries: readonly LogEntry[],
         hardState: HardState,
     ): Promise<void> {
-        // The snapshot first: a crash between the two renames leaves a snapshot and a log whose
-        // older entries are skipped on load. The other order would lose the entries between.
+        // The snapshot goes first: after a crash between the two renames, load skips the entries
+        // that it covers. The other order would lose these entries.
         await this.#replaceFile(SNAPSHOT_FILE, `${formatLine(JSON.stringify(snapshot))}\n`);
         const text = formatRecords([
             { hard: hardState },
@@ -214,7 +211,7 @@
             validBytes += Buffer.byteLength(line) + 1;
         }
         if (validBytes < Buffer.byteLength(text)) {
-            // Cut the torn end off, or the next append would join it and damage a good line.
+            // Truncate the torn line, or the next append would continue it and become corrupt.
             replaceFile(file, Buffer.from(text).subarray(0, validBytes).toString("utf8"));
             syncDirectory(this.#dir);
         }
@@ -228,14 +225,14 @@
         await handle.sync();
         await handle.close();
         await rename(temporary, join(this.#dir, name));
-        // A rename is lasting only once its directory is synced.
+        // A rename is durable only after its directory is synced.
         syncDirectory(this.#dir);
     }
 }
 
-/** Storage of a member without a disk: a replica for reading, gone with the process. */
+/** Stores nothing, for members without a disk, which never vote. */
 export class MemoryStorage implements Storage {
-    /** Nothing is stored. */
+    /** Returns the empty state. */
     load(): StoredState {
         return { hardState: { term: 0, votedFor: undefined }, snapshot: undefined, entries: [] };
     }
@@ -251,10 +248,10 @@
 }
 
 /**
- * Writes a small file whole and durably, replacing what was there.
+ * Writes a file atomically and durably, replacing an existing one.
  *
- * @param dir The folder; created when missing.
- * @param name The file's name.
+ * @param dir The folder; created if it does not exist.
+ * @param name The file name.
  * @param text The contents.
  */
 export function writeFileDurably(dir: string, name: string, text: string): void {
@@ -282,7 +279,7 @@
     return records.map((r) => `${formatLine(JSON.stringify(r))}\n`).join("");
 }
 
-/** A line is the CRC-32 of its payload in hex, a space, the payload. */
+/** Formats a line: the payload's CRC-32 in hex, a space and the payload. */
 function formatLine(payload: string): string {
     return `${crc32(payload).toString(16).padStart(8, "0")} ${payload}`;
 }
--- a/log/storage_test.ts
+++ b/log/storage_test.ts
@@ -28,8 +28,7 @@
 });
 
 test("a torn last line is cut off, and what is appended after it is read back", async (t) => {
-    // The process died mid-write: the line was never fsynced, so nobody was answered for it.
-    // Left in place, the next append would join it and turn a torn end into damage.
+    // Otherwise the next append would continue the torn line and make it corrupt.
     const dir = createTempDir();
     const storage = FileStorage.open({ dir });
     storage.load();
@@ -44,8 +43,7 @@
 });
 
 test("damage before the end is an error, never a shorter log", async (t) => {
-    // A bit flipped on the disk in a line that was acknowledged. Reading on without it would
-    // make the member deny what it promised; it refuses to start and names the line.
+    // Skipping a corrupt line would lose an acknowledged entry.
     const dir = createTempDir();
     const storage = FileStorage.open({ dir });
     storage.load();
@@ -60,9 +58,7 @@
 });
 
 test("a write that the disk takes only in part is an error, and leaves the log as it was", (t) => {
-    // The disk fills up in the middle of a write. The system call reports the part it took and no
-    // error; synced and confirmed, the caller would be answered for an entry that is half there.
-    // A limit on the file's size stands in for the full disk, in a process of its own.
+    // A file size limit in a child process simulates a full disk.
     const dir = createTempDir();
     const module = new URL("./storage.ts", import.meta.url).href;
     const script = `
@@ -112,9 +108,7 @@
 });
 
 test("the voters of the first start stay, whatever later settings name", (t) => {
-    // The operator would see two leaders. A member restarts before its log or a snapshot names any voters,
-    // and its settings name other instances by then: with those it would count another quorum than
-    // the members that did not restart.
+    // A member that used the changed settings would count a different quorum than the others.
     const dir = mkdtempSync(join(tmpdir(), "poplarhead-first-voters-"));
     t.teardown(() => rmSync(dir, { recursive: true }));
     const first = ["a#0", "b#0", "c#0"] as MemberId[];
--- a/log/types.ts
+++ b/log/types.ts
@@ -1,5 +1,5 @@
 /**
- * Typed records and messages of a replicated group: entries, votes, appends and snapshots.
+ * Defines the log entries, messages and storage interface of a replicated group.
  *
  * @example
  * ```ts
@@ -12,27 +12,27 @@
 
 import type { Brand } from "../inventory/mod.ts";
 
-/** A replicated group, such as the one that owns a zone's workers. */
+/** Identifies a replicated group, such as the one that manages a zone's workers. */
 export type GroupId = Brand<string, "GroupId">;
 
 /**
- * A member of a group: the instance's id and the incarnation of its data folder. An instance
- * that lost its disk comes back as another member, so it cannot vote twice in a term it forgot.
+ * Identifies a member of a group by the instance's id and the incarnation of its data folder. An
+ * instance that lost its disk rejoins as a new member, so it cannot vote twice in one term.
  */
 export type MemberId = Brand<string, "MemberId">;
 
-/** One entry of the log. */
+/** A log entry. */
 export type LogEntry =
-    /** Appended by every new leader: commits what earlier terms left. */
+    /** Appended by every new leader to commit the entries of earlier terms. */
     | { readonly index: number; readonly term: number; readonly type: "noop" }
-    /** Commands of the state machine, applied together in order. */
+    /** State machine commands, applied together in order. */
     | {
           readonly index: number;
           readonly term: number;
           readonly type: "commands";
           readonly commands: readonly unknown[];
       }
-    /** The voters from this entry on. */
+    /** Sets the voters from this entry on. */
     | {
           readonly index: number;
           readonly term: number;
@@ -40,13 +40,13 @@
           readonly voters: readonly MemberId[];
       };
 
-/** What must survive a restart besides the entries. */
+/** The persistent state of a member besides its log entries. */
 export interface HardState {
     readonly term: number;
     readonly votedFor: MemberId | undefined;
 }
 
-/** The state machine as of an index; every entry up to it may be dropped. */
+/** The state machine at an index; entries up to it may be compacted. */
 export interface Snapshot {
     readonly index: number;
     readonly term: number;
@@ -55,18 +55,18 @@
     readonly state: string;
 }
 
-/** Asks for a vote, or (`pre`) whether one would be given. */
+/** Requests a vote, or with `pre` asks whether a vote would be granted. */
 export interface VoteRequest {
     readonly type: "voteRequest";
     readonly pre: boolean;
     readonly term: number;
     readonly lastIndex: number;
     readonly lastTerm: number;
-    /** The leader itself asked for this campaign: it holds no lease any more. */
+    /** The leader requested this campaign and has given up its lease. */
     readonly isTransfer: boolean;
 }
 
-/** The answer to a {@link VoteRequest}. */
+/** The response to a {@link VoteRequest}. */
 export interface VoteResponse {
     readonly type: "voteResponse";
     readonly pre: boolean;
@@ -74,7 +74,7 @@
     readonly granted: boolean;
 }
 
-/** Sends entries, or none as a heartbeat. */
+/** Replicates entries; serves as a heartbeat if there are none. */
 export interface AppendRequest {
     readonly type: "append";
     readonly term: number;
@@ -82,11 +82,11 @@
     readonly previousTerm: number;
     readonly entries: readonly LogEntry[];
     readonly commitIndex: number;
-    /** The leader's clock when it was sent, in ms; echoed, it renews the leader's lease. */
+    /** The leader's clock at sending, in ms; the response echoes it to renew the lease. */
     readonly sentAt: number;
 }
 
-/** Sends a snapshot to a member whose next entry is already dropped. */
+/** Sends a snapshot to a member whose next entry is already compacted. */
 export interface SnapshotRequest {
     readonly type: "snapshot";
     readonly term: number;
@@ -94,19 +94,19 @@
     readonly sentAt: number;
 }
 
-/** Asks a member to campaign at once: its leader is about to stop. Answered like an append. */
+/** Asks a member to campaign at once to take over leadership. */
 export interface TransferRequest {
     readonly type: "transfer";
     readonly term: number;
     readonly sentAt: number;
 }
 
-/** The answer to an append, a snapshot or a transfer. */
+/** The response to an append, a snapshot or a transfer. */
 export interface AppendResponse {
     readonly type: "appendResponse";
     readonly term: number;
     readonly ok: boolean;
-    /** On success, the last index known to match; otherwise the index to try next. */
+    /** On success, the last index known to match; otherwise the index to retry from. */
     readonly index: number;
     readonly sentAt: number;
 }
@@ -115,15 +115,15 @@
 export type GroupMessage =
     VoteRequest | VoteResponse | AppendRequest | SnapshotRequest | TransferRequest | AppendResponse;
 
-/** A message with its receiver. */
+/** A message with its recipient. */
 export interface OutgoingMessage {
     readonly to: MemberId;
     readonly message: GroupMessage;
 }
 
-/** What a storage holds when it is opened. */
+/** The state that a storage holds when a member starts. */
 export interface StoredState {
-    /** The voters when the group began; `undefined` where storage does not keep them. */
+    /** The voters of the group's first start; `undefined` if the storage does not keep them. */
     readonly initialVoters?: readonly MemberId[];
     readonly hardState: HardState;
     readonly snapshot: Snapshot | undefined;
@@ -131,26 +131,26 @@
     readonly entries: readonly LogEntry[];
 }
 
-/** Where a member keeps its part of a group; {@link FileStorage} survives a crash. */
+/** Persists the state of one member. */
 export interface Storage {
-    /** Reads what is there; called once, first. */
+    /** Loads the stored state; called once before any other method. */
     readonly load: () => StoredState;
     /**
-     * Makes entries and the hard state durable. An entry whose index is already there replaces
-     * it and everything after it.
+     * Persists entries and the hard state. An entry at an existing index replaces the stored entry
+     * and all later ones.
      *
      * @param entries The entries to append.
-     * @param hardState The hard state, when it changed.
+     * @param hardState The hard state, if it changed.
      */
     readonly append: (
         entries: readonly LogEntry[],
         hardState: HardState | undefined,
     ) => Promise<void>;
     /**
-     * Replaces everything up to the snapshot by it.
+     * Replaces the stored log with a snapshot and the entries after it.
      *
      * @param snapshot The snapshot.
-     * @param remainingEntries The entries after it that stay.
+     * @param remainingEntries The entries after the snapshot.
      * @param hardState The hard state.
      */
     readonly compact: (
@@ -158,6 +158,6 @@
         remainingEntries: readonly LogEntry[],
         hardState: HardState,
     ) => Promise<void>;
-    /** Closes files. */
+    /** Closes open files. */
     readonly close: () => void;
 }
