--- a/log/_fixtures.ts
+++ b/log/_fixtures.ts
@@ -146,7 +146,7 @@
         this.runMember(item.to);
     }
 
-    /** Advances the clock and ticks every member except the frozen one. */
+    /** Advances the clock and ticks every member except the paused one. */
     advance(ms: number, frozen?: MemberId): void {
         this.now += ms;
         for (const [id, node] of this.nodes) {
@@ -203,14 +203,14 @@
         }
         const leaseHolders = this.ids.filter((m) => this.nodes.get(m)?.hasLease(this.now));
         if (leaseHolders.length > 1) {
-            this.violations.push(`two leaders hold a lease: ${leaseHolders.join(", ")}`);
+            this.violations.push(`several members hold a lease: ${leaseHolders.join(", ")}`);
         }
         for (const entry of node.listCommitted(0)) {
             const seen = this.committed.get(entry.index);
             if (seen === undefined) {
                 this.committed.set(entry.index, entry);
             } else if (JSON.stringify(seen) !== JSON.stringify(entry)) {
-                this.violations.push(`index ${entry.index} committed twice with other contents`);
+                this.violations.push(`index ${entry.index} has two different committed entries`);
             }
         }
     }
--- a/log/consensus_test.ts
+++ b/log/consensus_test.ts
@@ -14,7 +14,7 @@
     return leader;
 }
 
-test("a group elects one leader, commits by quorum and replaces a leader that died", (t) => {
+test("a group elects one leader, commits by quorum and replaces a crashed leader", (t) => {
     // Guards against losing committed entries in a failover.
     const group = new GroupFixture({ memberCount: 3, seed: 7 });
     group.runFor(5_000);
@@ -26,11 +26,15 @@
     const second = getLeader(group);
     t.not(second, first);
     t.deepEqual(group.committed.get(index)?.type, "commands");
-    t.is(group.nodes.get(second)?.commitIndex, index + 1, "the old entry, then the new leader's");
+    t.is(
+        group.nodes.get(second)?.commitIndex,
+        index + 1,
+        "the earlier entry, then the new leader's no-op",
+    );
     t.deepEqual(group.violations, []);
 });
 
-test("an isolated leader loses its lease before another leader can hold one", (t) => {
+test("an isolated leader loses its lease before another leader acquires one", (t) => {
     // Guards against split brain and against applying a partitioned leader's uncommitted entry.
     const group = new GroupFixture({ memberCount: 3, seed: 3 });
     group.runFor(5_000);
@@ -40,12 +44,12 @@
     group.runFor(5_000);
     const newLeader = getLeader(group);
     t.not(newLeader, oldLeader);
-    t.not(group.nodes.get(oldLeader)?.role, "leader", "it stepped down without a quorum");
+    t.not(group.nodes.get(oldLeader)?.role, "leader", "the leader steps down without a quorum");
     group.propose(newLeader, "committed");
     group.runFor(300);
     group.setIsolated(oldLeader, false);
     group.runFor(3_000);
-    t.is(getLeader(group), newLeader, "the returning member does not depose the leader");
+    t.is(getLeader(group), newLeader, "the rejoining member does not depose the leader");
     t.is(group.nodes.get(oldLeader)?.lastIndex, group.nodes.get(newLeader)?.lastIndex);
     t.notDeepEqual(group.committed.get(uncommittedIndex), {
         index: uncommittedIndex,
@@ -55,13 +59,13 @@
     t.deepEqual(group.violations, []);
 });
 
-test("a frozen leader that wakes up holds no lease", (t) => {
+test("a paused leader holds no lease after it resumes", (t) => {
     // The process is paused (SIGSTOP) while a successor is elected and still has the leader role.
     const group = new GroupFixture({ memberCount: 3, seed: 11 });
     group.runFor(5_000);
     const oldLeader = getLeader(group);
     group.runFor(6_000, oldLeader);
-    t.is(group.nodes.get(oldLeader)?.role, "leader", "it still believes so");
+    t.is(group.nodes.get(oldLeader)?.role, "leader", "the paused member still has the leader role");
     t.false(group.nodes.get(oldLeader)?.hasLease(group.now));
     t.not(getLeader(group), oldLeader);
     group.runFor(1_000);
@@ -69,7 +73,7 @@
     t.deepEqual(group.violations, []);
 });
 
-test("a member that lost its disk is replaced by another incarnation, one voter at a time", (t) => {
+test("a member with a lost disk is replaced by a new incarnation, one voter at a time", (t) => {
     // Two concurrent configuration changes could form disjoint quorums.
     const group = new GroupFixture({ memberCount: 3, seed: 5 });
     group.runFor(5_000);
@@ -83,7 +87,11 @@
     const node = group.nodes.get(leader);
     const voters = [...(node?.voters ?? []), replacement];
     t.not(node?.proposeVoters(voters), undefined);
-    t.is(node?.proposeVoters(voters.filter((v) => v !== wiped)), undefined, "not yet committed");
+    t.is(
+        node?.proposeVoters(voters.filter((v) => v !== wiped)),
+        undefined,
+        "the previous change is not yet committed",
+    );
     group.runMember(leader);
     group.runFor(1_000);
     t.not(node?.proposeVoters(voters.filter((v) => v !== wiped)), undefined);
@@ -97,11 +105,11 @@
     group.crashMember(other);
     const index = group.propose(leader, "after the repair") as number;
     group.runFor(1_000);
-    t.true(group.committed.has(index), "the repaired member makes the quorum");
+    t.true(group.committed.has(index), "the new incarnation completes the quorum");
     t.deepEqual(group.violations, []);
 });
 
-test("a follower that restarts keeps the lease of the leader it answered", (t) => {
+test("a restarted follower refuses votes while an earlier leader may hold its lease", (t) => {
     // A vote by the restarted follower could elect a second leader while the first holds its lease.
     const group = new GroupFixture({ memberCount: 3, seed: 21 });
     group.runFor(5_000);
@@ -130,7 +138,7 @@
     t.like(answer, { type: "voteResponse", granted: false });
 });
 
-test("a leader that stops hands the lead over at once, and trusts its lease no more", (t) => {
+test("a leadership transfer elects a new leader at once and ends the old leader's lease", (t) => {
     // Guards against two lease holders during the transfer and an election timeout per restart.
     const group = new GroupFixture({ memberCount: 3, seed: 4 });
     group.runFor(5_000);
@@ -143,7 +151,7 @@
     t.deepEqual(group.violations, []);
 });
 
-test("an entry of an earlier term is not committed by counting its copies", (t) => {
+test("an entry of an earlier term is not committed by counting replicas", (t) => {
     // A member whose last entry is of term 3 could still overwrite the replicated entry of term 2.
     const group = new GroupFixture({ memberCount: 3, seed: 2 });
     const [m1, m2] = group.ids as [MemberId, MemberId];
@@ -167,7 +175,7 @@
     t.is(node?.commitIndex, 3);
 });
 
-test("no schedule of losses, cuts, crashes and freezes breaks agreement", (t) => {
+test("random message loss, partitions, crashes and pauses never violate safety", (t) => {
     // Checks for one leader per term, one lease at a time and no change of committed entries.
     const step = fc.oneof(
         { weight: 6, arbitrary: fc.record({ kind: fc.constant("deliver"), n: fc.nat(30) }) },
@@ -204,7 +212,10 @@
                 const leader = getLeader(group);
                 const index = group.propose(leader, "last") as number;
                 group.runFor(1_000);
-                t.true(group.committed.has(index), "the healed group goes on");
+                t.true(
+                    group.committed.has(index),
+                    "the group commits again after the partitions are healed",
+                );
                 t.deepEqual(group.violations, []);
             },
         ),
@@ -256,7 +267,7 @@
     }
 }
 
-test("after a loss of power of all members a leader is there within one election timeout", (t) => {
+test("a group elects a leader within one election timeout after all members restart", (t) => {
     // Guards against a second election timeout when the first pre-vote precedes the other starts.
     for (let seed = 1; seed <= 20; seed++) {
         const group = new GroupFixture({ memberCount: 3, seed });
@@ -278,7 +289,7 @@
     }
 });
 
-test("a process that took long to start keeps the lease before it from its start on only", (t) => {
+test("a restarted member refuses votes for one election timeout from its process start", (t) => {
     const voters = ["m1.0", "m2.0", "m3.0"] as MemberId[];
     const stored = {
         hardState: { term: 3, votedFor: undefined },
@@ -311,7 +322,7 @@
     t.false(requestVote(createNode(10_000 - DEFAULT_TIMINGS.electionMs + 1)));
 });
 
-test("a change of the voters that would leave no quorum is not begun", (t) => {
+test("a voter change that would leave the group without a quorum is refused", (t) => {
     // With two of six voters lost, removing live voters would leave the group without a quorum.
     const group = new GroupFixture({ memberCount: 6, seed: 17 });
     group.runFor(5_000);
@@ -328,7 +339,7 @@
     }
     const index = group.propose(leader, "after the removals") as number;
     group.runFor(1_000);
-    t.true(group.committed.has(index), "the group still decides");
+    t.true(group.committed.has(index), "the group still commits");
     // Removing a lost voter is allowed, since it shrinks the quorum.
     for (const gone of [lost1, lost2] as MemberId[]) {
         t.not(
--- a/log/entry_log_test.ts
+++ b/log/entry_log_test.ts
@@ -18,7 +18,7 @@
     return new EntryLog({ index: 10, term: 2, voters: THREE_VOTERS, entries });
 }
 
-test("terms are known from the base on", (t) => {
+test("getTermAt() returns the terms of the base and the kept entries only", (t) => {
     const log = buildLog();
     t.deepEqual(
         [9, 10, 11, 13, 14].map((index) => log.getTermAt(index)),
@@ -26,13 +26,13 @@
     );
 });
 
-test("the voters of a point are those that the newest entry up to it set", (t) => {
+test("findVotersAt() returns the voters set by the latest entry up to the index", (t) => {
     const log = buildLog();
     t.deepEqual(log.findVotersAt(11), { voters: THREE_VOTERS, index: 10 });
     t.deepEqual(log.findVotersAt(13), { voters: TWO_VOTERS, index: 12 });
 });
 
-test("entries are listed between two indices, without those that are gone", (t) => {
+test("listBetween() returns the kept entries in a range of indexes", (t) => {
     const log = buildLog();
     t.deepEqual(
         log.listBetween(11, 13).map((entry) => entry.index),
@@ -42,7 +42,7 @@
     t.deepEqual(log.listBetween(13, 13), []);
 });
 
-test("voters set by an entry that is dropped from the end are not in force any more", (t) => {
+test("removeFrom() reverts the voters that a removed entry set", (t) => {
     // Members that still counted a removed configuration could elect two leaders.
     const log = buildLog();
     log.removeFrom(12);
@@ -50,7 +50,7 @@
     t.deepEqual(log.findVotersAt(log.lastIndex), { voters: THREE_VOTERS, index: 10 });
 });
 
-test("a compacted log keeps the voters and the term of its base", (t) => {
+test("compact() keeps the term and the voters of the new base", (t) => {
     const log = buildLog();
     log.compact(12);
     t.deepEqual([log.baseIndex, log.lastIndex, log.getTermAt(12)], [12, 13, 3]);
--- a/log/storage_test.ts
+++ b/log/storage_test.ts
@@ -14,7 +14,7 @@
     return { index, term, type: "commands", commands: [text] };
 }
 
-test("what was appended is read back; a replaced entry drops what followed it", async (t) => {
+test("appended entries are loaded, and a replaced entry removes all later ones", async (t) => {
     const dir = createTempDir();
     const storage = FileStorage.open({ dir });
     storage.load();
@@ -27,7 +27,7 @@
     t.deepEqual(reloaded.entries, [buildEntry(1), buildEntry(2, 2, "other")]);
 });
 
-test("a torn last line is cut off, and what is appended after it is read back", async (t) => {
+test("a torn last line is truncated, and entries appended after it are loaded", async (t) => {
     // Otherwise the next append would continue the torn line and make it corrupt.
     const dir = createTempDir();
     const storage = FileStorage.open({ dir });
@@ -42,7 +42,7 @@
     t.deepEqual(FileStorage.open({ dir }).load().entries, [buildEntry(1), buildEntry(2)]);
 });
 
-test("damage before the end is an error, never a shorter log", async (t) => {
+test("corruption before the end of the log is an error", async (t) => {
     // Skipping a corrupt line would lose an acknowledged entry.
     const dir = createTempDir();
     const storage = FileStorage.open({ dir });
@@ -57,7 +57,7 @@
     t.regex(error?.message ?? "", /log\.jsonl:2/);
 });
 
-test("a write that the disk takes only in part is an error, and leaves the log as it was", (t) => {
+test("a partial write is an error and leaves the log unchanged", (t) => {
     // A file size limit in a child process simulates a full disk.
     const dir = createTempDir();
     const module = new URL("./storage.ts", import.meta.url).href;
@@ -86,7 +86,7 @@
     ]);
 });
 
-test("a snapshot replaces the entries it covers, also when the crash came between the renames", async (t) => {
+test("a snapshot replaces its entries, even after a crash between the renames", async (t) => {
     const dir = createTempDir();
     const storage = FileStorage.open({ dir });
     storage.load();
@@ -107,7 +107,7 @@
     t.deepEqual(FileStorage.open({ dir }).load().entries, [buildEntry(4)]);
 });
 
-test("the voters of the first start stay, whatever later settings name", (t) => {
+test("the initial voters are kept when the settings change later", (t) => {
     // A member that used the changed settings would count a different quorum than the others.
     const dir = mkdtempSync(join(tmpdir(), "poplarhead-first-voters-"));
     t.teardown(() => rmSync(dir, { recursive: true }));
