--- a/log/_fixtures.ts
+++ b/log/_fixtures.ts
@@ -21,7 +21,7 @@
     entries: LogEntry[];
 }
 
-interface InFlight {
+interface InFlightMessage {
     readonly from: MemberId;
     readonly to: MemberId;
     readonly message: GroupMessage;
@@ -40,7 +40,7 @@
     readonly disks = new Map<MemberId, Disk>();
     readonly #initialVoters: readonly MemberId[];
     readonly #cutLinks = new Set<string>();
-    #queue: InFlight[] = [];
+    #queue: InFlightMessage[] = [];
     #random: () => number;
     now = 0;
     /** Every entry that a member committed, by index; a different entry there is a violation. */
@@ -147,10 +147,10 @@
     }
 
     /** Advances the clock and ticks every member except the paused one. */
-    advance(ms: number, frozen?: MemberId): void {
+    advance(ms: number, paused?: MemberId): void {
         this.now += ms;
         for (const [id, node] of this.nodes) {
-            if (id !== frozen) {
+            if (id !== paused) {
                 node.tick(this.now);
                 this.runMember(id);
             }
@@ -158,15 +158,15 @@
     }
 
     /** Advances the clock in steps of 50 ms and delivers all messages in order. */
-    runFor(ms: number, frozen?: MemberId): void {
+    runFor(ms: number, paused?: MemberId): void {
         for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += 50) {
-            this.advance(50, frozen);
+            this.advance(50, paused);
             for (
                 let remaining = this.#queue.length * 20;
                 remaining > 0 && this.#queue.length > 0;
                 remaining--
             ) {
-                if (this.#queue[0]?.to === frozen) {
+                if (this.#queue[0]?.to === paused) {
                     this.#queue.shift();
                 } else {
                     this.handleMessage(0, false);
@@ -195,9 +195,9 @@
 
     #checkInvariants(id: MemberId, node: Consensus): void {
         if (node.role === "leader") {
-            const other = this.#leaderByTerm.get(node.term);
-            if (other !== undefined && other !== id) {
-                this.violations.push(`term ${node.term} has two leaders: ${other}, ${id}`);
+            const otherLeader = this.#leaderByTerm.get(node.term);
+            if (otherLeader !== undefined && otherLeader !== id) {
+                this.violations.push(`term ${node.term} has two leaders: ${otherLeader}, ${id}`);
             }
             this.#leaderByTerm.set(node.term, id);
         }
--- a/log/consensus_test.ts
+++ b/log/consensus_test.ts
@@ -18,16 +18,16 @@
     // Guards against losing committed entries in a failover.
     const group = new GroupFixture({ memberCount: 3, seed: 7 });
     group.runFor(5_000);
-    const first = getLeader(group);
-    const index = group.propose(first, "a") as number;
+    const firstLeader = getLeader(group);
+    const index = group.propose(firstLeader, "a") as number;
     group.runFor(500);
-    group.crashMember(first);
+    group.crashMember(firstLeader);
     group.runFor(5_000);
-    const second = getLeader(group);
-    t.not(second, first);
+    const secondLeader = getLeader(group);
+    t.not(secondLeader, firstLeader);
     t.deepEqual(group.committed.get(index)?.type, "commands");
     t.is(
-        group.nodes.get(second)?.commitIndex,
+        group.nodes.get(secondLeader)?.commitIndex,
         index + 1,
         "the earlier entry, then the new leader's no-op",
     );
@@ -274,17 +274,20 @@
         group.runFor(4_000);
         const [first, second, third] = group.ids as [MemberId, MemberId, MemberId];
         group.ids.forEach((id) => group.crashMember(id));
-        const lostAt = group.now;
+        const crashedAtMs = group.now;
         group.startMember(first);
         group.runFor(100);
         group.startMember(second);
         group.runFor(100);
         group.startMember(third);
-        while (group.leader === undefined && group.now - lostAt < 5_000) {
+        while (group.leader === undefined && group.now - crashedAtMs < 5_000) {
             group.runFor(50);
         }
         // The last start (200 ms), one election timeout (1,000 ms), jitter and voting.
-        t.true(group.now - lostAt <= 200 + 1_000 + 650, `seed ${seed}: ${group.now - lostAt} ms`);
+        t.true(
+            group.now - crashedAtMs <= 200 + 1_000 + 650,
+            `seed ${seed}: ${group.now - crashedAtMs} ms`,
+        );
         t.deepEqual(group.violations, []);
     }
 });
@@ -332,8 +335,8 @@
     group.runFor(2_000);
     const leader = getLeader(group);
     const node = group.nodes.get(leader);
-    for (const present of group.ids.filter((id) => group.nodes.has(id) && id !== leader)) {
-        node?.proposeVoters((node.voters ?? []).filter((voter) => voter !== present));
+    for (const liveVoter of group.ids.filter((id) => group.nodes.has(id) && id !== leader)) {
+        node?.proposeVoters((node.voters ?? []).filter((voter) => voter !== liveVoter));
         group.runMember(leader);
         group.runFor(1_000);
     }
@@ -341,9 +344,9 @@
     group.runFor(1_000);
     t.true(group.committed.has(index), "the group still commits");
     // Removing a lost voter is allowed, since it shrinks the quorum.
-    for (const gone of [lost1, lost2] as MemberId[]) {
+    for (const lostVoter of [lost1, lost2] as MemberId[]) {
         t.not(
-            node?.proposeVoters((node.voters ?? []).filter((voter) => voter !== gone)),
+            node?.proposeVoters((node.voters ?? []).filter((voter) => voter !== lostVoter)),
             undefined,
         );
         group.runMember(leader);
--- a/log/storage.ts
+++ b/log/storage.ts
@@ -65,9 +65,9 @@
     readonly #initialVoters: readonly MemberId[] | undefined;
     #log: { readonly fd: number; readonly size: number } | undefined;
 
-    private constructor(dir: string, firstVoters: readonly MemberId[] | undefined) {
+    private constructor(dir: string, initialVoters: readonly MemberId[] | undefined) {
         this.#dir = dir;
-        this.#initialVoters = firstVoters;
+        this.#initialVoters = initialVoters;
     }
 
     /**
