--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -45,7 +45,7 @@
     type RpcServer,
 } from "../rpc/mod.ts";
 import type { ControlMetrics } from "../telemetry/control_metrics.ts";
-import { CountedLog } from "../telemetry/counted_log.ts";
+import { RateLimitedLog } from "../telemetry/rate_limited_log.ts";
 import {
     METHODS,
     type AdviseAnswer,
@@ -134,7 +134,7 @@
     #helloSubscription: Subscription | undefined;
     #leaderPublicAddress: string | undefined;
     /** Counts calls and orders that arrived while the leader lease had expired. */
-    readonly #leaseLapses = new CountedLog((fields) =>
+    readonly #leaseLapses = new RateLimitedLog((fields) =>
         this.#options.log.warn("calls arrived after leader lease expired", fields),
     );
 
@@ -425,7 +425,7 @@
         if (this.isServing || this.#leadership === undefined) {
             return this.isServing;
         }
-        this.#options.metrics?.lapsedCalls.inc();
+        this.#options.metrics?.expiredLeaseCalls.inc();
         this.#leaseLapses.add();
         await this.#member?.waitServing();
         return this.isServing;
@@ -482,7 +482,7 @@
     #stopLeading(cause: ResignCause | "stopped"): void {
         if (this.#leadership !== undefined) {
             this.#options.log.notice("lead lost", { term: this.#member?.replica.term, cause });
-            this.#options.metrics?.leadsLost.inc({ cause });
+            this.#options.metrics?.leadershipLosses.inc({ cause });
         }
         this.#voterPlanner.stopLeading();
         this.#options.metrics?.leading.set(0);
--- a/entry/_cluster_fixtures.ts
+++ b/entry/_cluster_fixtures.ts
@@ -24,7 +24,7 @@
 import { Cluster, type ClusterOptions } from "../load/cluster_runner.ts";
 import { createRulesFile, type RulesFile } from "../rules/rules_file.ts";
 import { Caller } from "../standin/mod.ts";
-import { auditTimeline, type ToldFate } from "../telemetry/mod.ts";
+import { auditTimeline, type ReportedOutcome } from "../telemetry/mod.ts";
 
 const SERVICE = "studio-intake";
 const CORES = 16;
@@ -222,8 +222,8 @@
     const instances = new Set(timeline.flatMap((e) => (e["instance"] as string) ?? []));
     return auditTimeline(timeline, {
         capacities: new Map([...instances].map((id) => [id, CORES])),
-        killedAt: cluster.killedAt,
-        fates: answers.map((answer): ToldFate => ({
+        killedAtMs: cluster.killedAt,
+        outcomes: answers.map((answer): ReportedOutcome => ({
             requestId: answer.requestId,
             state: answer.state,
             final: answer.final,
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -601,8 +601,8 @@
 
     async #updateGauges(): Promise<void> {
         const status = this.#describeStatus();
-        this.metrics.packingCores.set(status.packingCores);
-        this.metrics.queued.set(status.requests["queued"] ?? 0);
+        this.metrics.leasedCoresRatio.set(status.packingCores);
+        this.metrics.queuedRequests.set(status.requests["queued"] ?? 0);
     }
 }
 
--- a/entry/zone_group.ts
+++ b/entry/zone_group.ts
@@ -482,7 +482,7 @@
                 metrics.waitSeconds.observe({ class: effect.className }, effect.waitMs / 1_000);
                 return;
             case "final":
-                metrics.finals.inc({ state: effect.state });
+                metrics.finishedRequests.inc({ state: effect.state });
                 return;
         }
     }
--- a/telemetry/audit.ts
+++ b/telemetry/audit.ts
@@ -14,7 +14,7 @@
 import type { TimelineEvent } from "./timeline.ts";
 
 /** What a caller was told of one request in the end. */
-export interface ToldFate {
+export interface ReportedOutcome {
     readonly requestId: string;
     readonly state: string;
     readonly final: boolean;
@@ -28,19 +28,19 @@
 export interface AuditOptions {
     /** Cores of each instance. */
     readonly capacities: ReadonlyMap<string, number>;
-    readonly fates: readonly ToldFate[];
+    readonly outcomes: readonly ReportedOutcome[];
     /** When worker processes were killed, by process name: their tasks ended then. */
-    readonly killedAt?: ReadonlyMap<string, number>;
+    readonly killedAtMs?: ReadonlyMap<string, number>;
 }
 
-interface Run {
+interface TaskRun {
     readonly task: string;
     readonly request: string;
     readonly instance: string;
     readonly cores: number;
-    readonly startedAt: number;
-    endedAt: number;
-    end: string | undefined;
+    readonly startedAtMs: number;
+    endedAtMs: number;
+    outcome: string | undefined;
 }
 
 /**
@@ -51,90 +51,102 @@
  * @returns One line per violation; empty when all hold.
  */
 export function auditTimeline(events: readonly TimelineEvent[], options: AuditOptions): string[] {
-    const runs = listRuns(events, options.killedAt ?? new Map());
+    const runs = listRuns(events, options.killedAtMs ?? new Map());
     return [
         ...listOvercommits(runs, options.capacities),
         ...listOverlaps(runs),
-        ...listUntrueFates(runs, options.fates),
+        ...listOutcomeMismatches(runs, options.outcomes),
     ];
 }
 
-function listRuns(events: readonly TimelineEvent[], killedAt: ReadonlyMap<string, number>): Run[] {
-    const byLease = new Map<string, Run>();
-    const origins = listOrigins(events);
+function listRuns(
+    events: readonly TimelineEvent[],
+    killedAtMs: ReadonlyMap<string, number>,
+): TaskRun[] {
+    const byLease = new Map<string, TaskRun>();
+    const originalIds = listOriginalIds(events);
     for (const event of events) {
-        const lease = `${event.process}|${String(event["lease"])}`;
+        const leaseKey = `${event.process}|${String(event["lease"])}`;
         if (event.message === "task started") {
-            byLease.set(lease, {
-                ...createOriginIds(String(event.request), String(event["task"]), origins),
+            byLease.set(leaseKey, {
+                ...resolveOriginalIds(String(event.request), String(event["task"]), originalIds),
                 instance: String(event["instance"]),
                 cores: Number(event["cores"]),
-                startedAt: event.t,
-                endedAt: killedAt.get(event.process) ?? Number.POSITIVE_INFINITY,
-                end: undefined,
+                startedAtMs: event.t,
+                endedAtMs: killedAtMs.get(event.process) ?? Number.POSITIVE_INFINITY,
+                outcome: undefined,
             });
             continue;
         }
-        const end = /^task (completed|failed|stopped)$/.exec(event.message)?.[1];
-        const run = end === undefined ? undefined : byLease.get(lease);
+        const outcome = /^task (completed|failed|stopped)$/.exec(event.message)?.[1];
+        const run = outcome === undefined ? undefined : byLease.get(leaseKey);
         if (run !== undefined) {
-            run.endedAt = event.t;
-            run.end = end;
+            run.endedAtMs = event.t;
+            run.outcome = outcome;
         }
     }
     return [...byLease.values()];
 }
 
 /** A request handed over to another zone's group runs there under another id. */
-function listOrigins(events: readonly TimelineEvent[]): Map<string, string> {
-    const origins = new Map<string, string>();
+function listOriginalIds(events: readonly TimelineEvent[]): Map<string, string> {
+    const originalIds = new Map<string, string>();
     for (const event of events) {
-        const as = /handed over as (\S+)#\d+$/.exec(String(event["detail"] ?? ""))?.[1];
-        if (event.message === "accepted" && as !== undefined && event.request !== undefined) {
-            origins.set(event.request, as);
+        const originalId = /handed over as (\S+)#\d+$/.exec(String(event["detail"] ?? ""))?.[1];
+        if (
+            event.message === "accepted" &&
+            originalId !== undefined &&
+            event.request !== undefined
+        ) {
+            originalIds.set(event.request, originalId);
         }
     }
-    return origins;
+    return originalIds;
 }
 
-function createOriginIds(
+function resolveOriginalIds(
     request: string,
     task: string,
-    origins: ReadonlyMap<string, string>,
+    originalIds: ReadonlyMap<string, string>,
 ): { readonly request: string; readonly task: string } {
-    const origin = origins.get(request) ?? request;
-    return { request: origin, task: origin + task.slice(request.length) };
+    const originalId = originalIds.get(request) ?? request;
+    return { request: originalId, task: originalId + task.slice(request.length) };
 }
 
-function listOvercommits(runs: readonly Run[], capacities: ReadonlyMap<string, number>): string[] {
+function listOvercommits(
+    runs: readonly TaskRun[],
+    capacities: ReadonlyMap<string, number>,
+): string[] {
     const changes = runs.flatMap((run) => [
-        { at: run.startedAt, instance: run.instance, cores: run.cores },
-        { at: run.endedAt, instance: run.instance, cores: -run.cores },
+        { at: run.startedAtMs, instance: run.instance, cores: run.cores },
+        { at: run.endedAtMs, instance: run.instance, cores: -run.cores },
     ]);
     // Ends before starts of the same ms: a worker logs both in order, a ms is all we see.
     changes.sort((a, b) => a.at - b.at || a.cores - b.cores);
-    const held = new Map<string, number>();
+    const usedCores = new Map<string, number>();
     const violations: string[] = [];
     for (const { at, instance, cores } of changes) {
-        const now = (held.get(instance) ?? 0) + cores;
-        held.set(instance, now);
+        const coresInUse = (usedCores.get(instance) ?? 0) + cores;
+        usedCores.set(instance, coresInUse);
         const capacity = capacities.get(instance);
-        if (capacity !== undefined && now > capacity + 1e-6) {
-            violations.push(`overcommit: ${instance} runs ${now} of ${capacity} cores at ${at}`);
+        if (capacity !== undefined && coresInUse > capacity + 1e-6) {
+            violations.push(
+                `overcommit: ${instance} runs ${coresInUse} of ${capacity} cores at ${at}`,
+            );
         }
     }
     return violations;
 }
 
-function listOverlaps(runs: readonly Run[]): string[] {
+function listOverlaps(runs: readonly TaskRun[]): string[] {
     const violations: string[] = [];
-    for (const [task, own] of createGroups(runs, (r) => r.task)) {
-        own.sort((a, b) => a.startedAt - b.startedAt);
-        own.forEach((run, i) => {
-            const next = own[i + 1];
-            if (next !== undefined && next.startedAt < run.endedAt) {
+    for (const [task, taskRuns] of collectByKey(runs, (r) => r.task)) {
+        taskRuns.sort((a, b) => a.startedAtMs - b.startedAtMs);
+        taskRuns.forEach((run, i) => {
+            const next = taskRuns[i + 1];
+            if (next !== undefined && next.startedAtMs < run.endedAtMs) {
                 violations.push(
-                    `two places: ${task} starts on ${next.instance} at ${next.startedAt}, on ${run.instance} until ${run.endedAt}`,
+                    `two places: ${task} starts on ${next.instance} at ${next.startedAtMs}, on ${run.instance} until ${run.endedAtMs}`,
                 );
             }
         });
@@ -142,36 +154,43 @@
     return violations;
 }
 
-function listUntrueFates(runs: readonly Run[], fates: readonly ToldFate[]): string[] {
+function listOutcomeMismatches(
+    runs: readonly TaskRun[],
+    outcomes: readonly ReportedOutcome[],
+): string[] {
     const violations: string[] = [];
-    const byRequest = createGroups(runs, (r) => r.request);
-    for (const fate of fates) {
-        const own = byRequest.get(fate.requestId) ?? [];
-        const id = `${fate.requestId} (${fate.state})`;
-        if (!fate.final) {
+    const byRequest = collectByKey(runs, (r) => r.request);
+    for (const outcome of outcomes) {
+        const requestRuns = byRequest.get(outcome.requestId) ?? [];
+        const id = `${outcome.requestId} (${outcome.state})`;
+        if (!outcome.final) {
             violations.push(`no end: ${id}`);
         }
-        if (!fate.mayHaveRun && own.length > 0) {
+        if (!outcome.mayHaveRun && requestRuns.length > 0) {
             violations.push(
-                `untrue: ${id} was said not to have run, but ${own.length} task(s) did`,
+                `untrue: ${id} was said not to have run, but ${requestRuns.length} task(s) did`,
             );
         }
-        for (const [task, times] of createGroups(own, (r) => r.task)) {
-            if (fate.atMostOnce && times.length > 1) {
+        for (const [task, attempts] of collectByKey(requestRuns, (r) => r.task)) {
+            if (outcome.atMostOnce && attempts.length > 1) {
                 violations.push(
-                    `repeated: ${task} of at-most-once ${id} ran ${times.length} times`,
+                    `repeated: ${task} of at-most-once ${id} ran ${attempts.length} times`,
                 );
             }
         }
-        const completed = new Set(own.filter((r) => r.end === "completed").map((r) => r.task));
-        if (fate.state === "completed" && completed.size < fate.tasks) {
-            violations.push(`untrue: ${id} completed ${completed.size} of ${fate.tasks} task(s)`);
+        const completed = new Set(
+            requestRuns.filter((r) => r.outcome === "completed").map((r) => r.task),
+        );
+        if (outcome.state === "completed" && completed.size < outcome.tasks) {
+            violations.push(
+                `untrue: ${id} completed ${completed.size} of ${outcome.tasks} task(s)`,
+            );
         }
     }
     return violations;
 }
 
-function createGroups<T>(items: readonly T[], getKey: (item: T) => string): Map<string, T[]> {
+function collectByKey<T>(items: readonly T[], getKey: (item: T) => string): Map<string, T[]> {
     const groups = new Map<string, T[]>();
     for (const item of items) {
         const key = getKey(item);
--- a/telemetry/causes.ts
+++ b/telemetry/causes.ts
@@ -11,10 +11,10 @@
  * @module
  */
 
-import { listByRequest, type TimelineEvent } from "./timeline.ts";
+import { collectByRequest, type TimelineEvent } from "./timeline.ts";
 
 /** Why a request took longer than its tasks did, or failed; the first that fits counts. */
-export type Cause =
+export type DelayCause =
     /** A task failed as often as its queue allows. */
     | "failed"
     /** Its worker went away, or its lease ran out. */
@@ -35,10 +35,10 @@
 /** Requests accepted in one span of time. */
 export interface CauseRow {
     /** Start of the span, in ms since 1970. */
-    readonly since: number;
+    readonly spanStartMs: number;
     readonly accepted: number;
     /** Delayed or failed, by cause. */
-    readonly causes: ReadonlyMap<Cause, number>;
+    readonly causes: ReadonlyMap<DelayCause, number>;
 }
 
 /** Options of {@link listCauseRows}. */
@@ -49,14 +49,14 @@
 
 const DEFAULT_SPAN_MS = 2_000;
 /** A request is delayed by this share of its tasks' time, and by this many ms at least. */
-const DELAY_SHARE = 0.5;
-const DELAY_MS = 500;
+const MIN_DELAY_RATIO = 0.5;
+const MIN_DELAY_MS = 500;
 /** A step that waited longer than this waited, in ms: advice alone takes up to 0.8 s. */
 const LONG_WAIT_MS = 1_000;
 /** A task that took so many times the median of its step is a straggler. */
 const STRAGGLER_FACTOR = 2;
 /** The longest bar of the plot, in characters. */
-const BAR_LENGTH = 40;
+const MAX_BAR_LENGTH = 40;
 
 /**
  * Counts the requests of each span, and why some were delayed.
@@ -70,25 +70,27 @@
     options: CauseOptions = {},
 ): CauseRow[] {
     const spanMs = options.spanMs ?? DEFAULT_SPAN_MS;
-    const changes = events.filter(({ message }) => message === "lead gained").map(({ t }) => t);
-    const rows = new Map<number, { accepted: number; causes: Map<Cause, number> }>();
-    for (const own of listByRequest(events).values()) {
-        const accepted = own.find(({ message }) => message === "job accepted");
+    const leaderChangesMs = events
+        .filter(({ message }) => message === "lead gained")
+        .map(({ t }) => t);
+    const rows = new Map<number, { accepted: number; causes: Map<DelayCause, number> }>();
+    for (const requestEvents of collectByRequest(events).values()) {
+        const accepted = requestEvents.find(({ message }) => message === "job accepted");
         if (accepted === undefined) {
             continue;
         }
-        const since = Math.floor(accepted.t / spanMs) * spanMs;
-        const row = rows.get(since) ?? { accepted: 0, causes: new Map<Cause, number>() };
-        rows.set(since, row);
+        const spanStartMs = Math.floor(accepted.t / spanMs) * spanMs;
+        const row = rows.get(spanStartMs) ?? { accepted: 0, causes: new Map<DelayCause, number>() };
+        rows.set(spanStartMs, row);
         row.accepted += 1;
-        const cause = findCause(own, accepted.t, changes);
+        const cause = findCause(requestEvents, accepted.t, leaderChangesMs);
         if (cause !== undefined) {
             row.causes.set(cause, (row.causes.get(cause) ?? 0) + 1);
         }
     }
     return [...rows]
         .sort(([a], [b]) => a - b)
-        .map(([since, { accepted, causes }]) => ({ since, accepted, causes }));
+        .map(([spanStartMs, { accepted, causes }]) => ({ spanStartMs, accepted, causes }));
 }
 
 /**
@@ -98,76 +100,84 @@
  * @returns Lines of text.
  */
 export function formatCauses(rows: readonly CauseRow[]): string {
-    const first = rows[0]?.since ?? 0;
-    const most = Math.max(1, ...rows.map((row) => countDelayed(row)));
+    const firstSpanStartMs = rows[0]?.spanStartMs ?? 0;
+    const maxDelayed = Math.max(1, ...rows.map((row) => countDelayed(row)));
     const lines = rows.map((row) => {
         const delayed = countDelayed(row);
-        const bar = "#".repeat(Math.ceil((delayed * BAR_LENGTH) / most));
+        const bar = "#".repeat(Math.ceil((delayed * MAX_BAR_LENGTH) / maxDelayed));
         const causes = [...row.causes]
             .sort(([, a], [, b]) => b - a)
             .map(([cause, count]) => `${cause} ${count}`)
             .join(", ");
-        const at = ((row.since - first) / 1_000).toFixed(1).padStart(7);
+        const offsetSeconds = ((row.spanStartMs - firstSpanStartMs) / 1_000).toFixed(1).padStart(7);
         const counts = `${String(row.accepted).padStart(6)} ${String(delayed).padStart(7)}`;
-        return `${at} s ${counts}  ${bar.padEnd(BAR_LENGTH)}  ${causes}`.trimEnd();
+        return `${offsetSeconds} s ${counts}  ${bar.padEnd(MAX_BAR_LENGTH)}  ${causes}`.trimEnd();
     });
     return ["   from  accepted delayed", ...lines].join("\n");
 }
 
 /** @returns The cause, or `undefined` for a request that was cancelled, is under way, or was in time. */
 function findCause(
-    own: readonly TimelineEvent[],
-    acceptedAt: number,
-    leaderChanges: readonly number[],
-): Cause | undefined {
-    const has = (message: string): boolean => own.some((event) => event.message === message);
-    if (has("job failed")) {
+    requestEvents: readonly TimelineEvent[],
+    acceptedAtMs: number,
+    leaderChangesMs: readonly number[],
+): DelayCause | undefined {
+    const hasMessage = (message: string): boolean =>
+        requestEvents.some((event) => event.message === message);
+    if (hasMessage("job failed")) {
         return "failed";
     }
-    const endedAt = own.find(({ message }) => message === "job complete")?.t;
-    if (endedAt === undefined) {
+    const completedAtMs = requestEvents.find(({ message }) => message === "job complete")?.t;
+    if (completedAtMs === undefined) {
         return undefined;
     }
-    const steps = listDoneTimes(own);
-    const workMs = steps.reduce((sum, times) => sum + computeMedian(times), 0);
-    if (endedAt - acceptedAt - workMs < Math.max(DELAY_MS, DELAY_SHARE * workMs)) {
+    const durationsByStep = listStepDurations(requestEvents);
+    const workMs = durationsByStep.reduce(
+        (sum, durationsMs) => sum + computeMedian(durationsMs),
+        0,
+    );
+    if (completedAtMs - acceptedAtMs - workMs < Math.max(MIN_DELAY_MS, MIN_DELAY_RATIO * workMs)) {
         return undefined;
     }
-    const hasEnded = (...kinds: string[]): boolean =>
-        own.some(({ message, how }) => message === "task ended" && kinds.includes(String(how)));
-    if (hasEnded("lost", "lapsed")) {
+    const hasTaskEnd = (...kinds: string[]): boolean =>
+        requestEvents.some(
+            ({ message, how }) => message === "task ended" && kinds.includes(String(how)),
+        );
+    if (hasTaskEnd("lost", "lapsed")) {
         return "worker lost";
     }
-    if (has("start unanswered") || has("start refused")) {
+    if (hasMessage("start unanswered") || hasMessage("start refused")) {
         return "order lost";
     }
-    if (hasEnded("failed")) {
+    if (hasTaskEnd("failed")) {
         return "repeated";
     }
-    if (own.some((event) => Number(event["waitedMs"]) > LONG_WAIT_MS)) {
+    if (requestEvents.some((event) => Number(event["waitedMs"]) > LONG_WAIT_MS)) {
         return "waited";
     }
-    if (steps.some((times) => isUneven(times))) {
+    if (durationsByStep.some((durationsMs) => hasStraggler(durationsMs))) {
         return "straggler";
     }
-    return leaderChanges.some((t) => t >= acceptedAt && t <= endedAt) ? "leader" : "other";
+    return leaderChangesMs.some((t) => t >= acceptedAtMs && t <= completedAtMs)
+        ? "leader"
+        : "other";
 }
 
 /** How long the tasks of each step took that were done, in ms. */
-function listDoneTimes(own: readonly TimelineEvent[]): number[][] {
-    const steps = new Map<string, number[]>();
-    for (const { message, how, task, tookMs } of own) {
+function listStepDurations(requestEvents: readonly TimelineEvent[]): number[][] {
+    const durationsByStep = new Map<string, number[]>();
+    for (const { message, how, task, tookMs } of requestEvents) {
         if (message === "task ended" && how === "done") {
             const name = String(task);
             const step = name.slice(0, name.lastIndexOf("."));
-            steps.set(step, [...(steps.get(step) ?? []), Number(tookMs)]);
+            durationsByStep.set(step, [...(durationsByStep.get(step) ?? []), Number(tookMs)]);
         }
     }
-    return [...steps.values()];
+    return [...durationsByStep.values()];
 }
 
-function isUneven(times: readonly number[]): boolean {
-    return Math.max(...times) > STRAGGLER_FACTOR * computeMedian(times);
+function hasStraggler(durationsMs: readonly number[]): boolean {
+    return Math.max(...durationsMs) > STRAGGLER_FACTOR * computeMedian(durationsMs);
 }
 
 function computeMedian(values: readonly number[]): number {
--- a/telemetry/causes_test.ts
+++ b/telemetry/causes_test.ts
@@ -7,20 +7,24 @@
 }
 
 /** A request of one step with tasks that took some time each. */
-function buildRequest(request: string, at: number, times: readonly number[]): TimelineEvent[] {
-    const ends = times.map((tookMs, i) =>
-        buildEvent(at + tookMs, "task ended", {
+function buildRequest(
+    request: string,
+    acceptedAtMs: number,
+    durationsMs: readonly number[],
+): TimelineEvent[] {
+    const ends = durationsMs.map((tookMs, i) =>
+        buildEvent(acceptedAtMs + tookMs, "task ended", {
             request,
             task: `${request}.0.0.${i}`,
             how: "done",
             tookMs,
         }),
     );
-    const last = at + Math.max(...times);
+    const completedAtMs = acceptedAtMs + Math.max(...durationsMs);
     return [
-        buildEvent(at, "job accepted", { request }),
+        buildEvent(acceptedAtMs, "job accepted", { request }),
         ...ends,
-        buildEvent(last, "job complete", { request }),
+        buildEvent(completedAtMs, "job complete", { request }),
     ];
 }
 
@@ -35,7 +39,7 @@
     ];
     const rows = listCauseRows(events);
     t.deepEqual(
-        rows.map(({ since, accepted, causes }) => [since, accepted, [...causes]]),
+        rows.map(({ spanStartMs, accepted, causes }) => [spanStartMs, accepted, [...causes]]),
         [
             [
                 0,
--- a/telemetry/control_metrics.ts
+++ b/telemetry/control_metrics.ts
@@ -28,20 +28,22 @@
     /** From an operator's configuration at the leader to its acknowledgement. */
     readonly configurationSeconds: Histogram;
     readonly leading: Gauge;
-    readonly leadsLost: Counter<"cause">;
+    readonly leadershipLosses: Counter<"cause">;
     /** Calls that reached a leader whose lease had lapsed. */
-    readonly lapsedCalls: Counter;
+    readonly expiredLeaseCalls: Counter;
     /** Turns of the event loop that held everything else up. */
-    readonly loopHeldSeconds: Histogram;
-    readonly loopDelaySeconds: Gauge;
+    readonly eventLoopBlockedSeconds: Histogram;
+    readonly eventLoopDelaySeconds: Gauge;
     readonly cpuSeconds: Gauge;
     readonly residentBytes: Gauge;
 }
 
 /** From a commit (10 ms) to the longest wait that anybody sits through (60 s). */
-const LATENCY_BUCKETS = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15, 60];
+const LATENCY_BUCKETS_SECONDS = [
+    0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15, 60,
+];
 /** How often the process looks at itself, in ms. */
-const SAMPLE_MS = 1_000;
+const SAMPLE_INTERVAL_MS = 1_000;
 
 /**
  * Creates the metrics in a registry of their own and samples the process once a second.
@@ -60,7 +62,7 @@
             name,
             help,
             labelNames: [...labelNames],
-            buckets: LATENCY_BUCKETS,
+            buckets: LATENCY_BUCKETS_SECONDS,
             registers,
         });
     const createGauge = <L extends string = never>(
@@ -97,23 +99,23 @@
             "poplarhead_configuration_seconds",
             "Time from a configuration's arrival at the leader to its acknowledgement.",
         ),
-        leadsLost: new Counter({
+        leadershipLosses: new Counter({
             name: "poplarhead_leads_lost_total",
             help: "Leads of this instance that ended, by cause.",
             labelNames: ["cause"],
             registers,
         }),
-        lapsedCalls: new Counter({
+        expiredLeaseCalls: new Counter({
             name: "poplarhead_lapsed_calls_total",
             help: "Calls that reached this instance while it led without a lease.",
             registers,
         }),
-        loopHeldSeconds: createHistogram(
+        eventLoopBlockedSeconds: createHistogram(
             "poplarhead_event_loop_held_seconds",
             "Turns of the event loop longer than a tenth of a second.",
         ),
         leading: createGauge("poplarhead_control_leading", "1 while this instance leads."),
-        loopDelaySeconds: createGauge(
+        eventLoopDelaySeconds: createGauge(
             "poplarhead_event_loop_delay_seconds",
             "How late the last one-second timer was.",
         ),
@@ -125,14 +127,14 @@
 }
 
 function startSampling(metrics: ControlMetrics): void {
-    let due = performance.now() + SAMPLE_MS;
+    let dueAtMs = performance.now() + SAMPLE_INTERVAL_MS;
     const timer = setInterval(() => {
-        const now = performance.now();
-        metrics.loopDelaySeconds.set(Math.max(0, now - due) / 1_000);
-        due = now + SAMPLE_MS;
+        const nowMs = performance.now();
+        metrics.eventLoopDelaySeconds.set(Math.max(0, nowMs - dueAtMs) / 1_000);
+        dueAtMs = nowMs + SAMPLE_INTERVAL_MS;
         const { user, system } = process.cpuUsage();
         metrics.cpuSeconds.set((user + system) / 1e6);
         metrics.residentBytes.set(process.memoryUsage.rss());
-    }, SAMPLE_MS);
+    }, SAMPLE_INTERVAL_MS);
     timer.unref();
 }
--- a/telemetry/decision_log.ts
+++ b/telemetry/decision_log.ts
@@ -16,10 +16,10 @@
 
 import type { Logger } from "winston";
 import { RequestSampler } from "./request_sampler.ts";
-import { STEP_PROGRESS, type EndedRow, type PlacedRow } from "./timeline.ts";
+import { STEP_PROGRESS, type EndedTask, type PlacedUnit } from "./timeline.ts";
 
 /** How much a line matters, as the dispatcher says. */
-export type LineKind = "decision" | "milestone" | "failure";
+export type DecisionKind = "decision" | "milestone" | "failure";
 
 /** Options of {@link DecisionLog}. */
 export interface DecisionLogOptions {
@@ -30,22 +30,22 @@
 }
 
 /** What a step did since its last line. */
-interface StepRows {
-    readonly placed: (PlacedRow & { readonly at: number })[];
-    readonly ended: (EndedRow & { readonly at: number })[];
+interface StepBatch {
+    readonly placed: (PlacedUnit & { readonly at: number })[];
+    readonly ended: (EndedTask & { readonly at: number })[];
 }
 
 type Fields = Readonly<Record<string, unknown>>;
 
 /** A leader that is killed takes so much of a story with it, in ms. */
-const GATHER_MS = 400;
-const LEVELS: Readonly<Record<LineKind, string>> = {
+const FLUSH_DELAY_MS = 400;
+const LOG_LEVELS: Readonly<Record<DecisionKind, string>> = {
     decision: "info",
     milestone: "notice",
     failure: "warn",
 };
 /** After these nothing more is told of a request. */
-const LAST_EVENTS: ReadonlySet<string> = new Set([
+const TERMINAL_EVENTS: ReadonlySet<string> = new Set([
     "job complete",
     "job failed",
     "job cancelled",
@@ -58,7 +58,7 @@
     readonly #getNow: () => number;
     readonly #sampler: RequestSampler;
     /** By request, then by step. */
-    readonly #gathered = new Map<string, Map<string, StepRows>>();
+    readonly #batches = new Map<string, Map<string, StepBatch>>();
     #flushTimer: NodeJS.Timeout | undefined;
 
     /**
@@ -81,19 +81,19 @@
      * @param event What happened.
      * @param fields The inputs that decided it and the outcome.
      */
-    record(kind: LineKind, event: string, fields: Fields): void {
+    record(kind: DecisionKind, event: string, fields: Fields): void {
         const request = fields["request"];
         if (typeof request !== "string") {
             this.#write(kind, event, fields);
             return;
         }
-        this.#updateSample(kind, event, request);
-        const isTold = kind !== "decision" || this.#sampler.isTold(request);
-        if (isTold && !this.#addRow(request, event, fields)) {
+        this.#updateSampler(kind, event, request);
+        const isLogged = kind !== "decision" || this.#sampler.isSampled(request);
+        if (isLogged && !this.#addToBatch(request, event, fields)) {
             this.#write(kind, event, fields);
         }
-        if (LAST_EVENTS.has(event)) {
-            this.#writeGathered(request);
+        if (TERMINAL_EVENTS.has(event)) {
+            this.#writeBatches(request);
             this.#sampler.close(request);
         }
     }
@@ -102,62 +102,64 @@
     flush(): void {
         clearTimeout(this.#flushTimer);
         this.#flushTimer = undefined;
-        for (const request of [...this.#gathered.keys()]) {
-            this.#writeGathered(request);
+        for (const request of [...this.#batches.keys()]) {
+            this.#writeBatches(request);
         }
     }
 
-    #writeGathered(request: string): void {
+    #writeBatches(request: string): void {
         const now = this.#getNow();
-        for (const [step, { placed, ended }] of this.#gathered.get(request) ?? []) {
+        for (const [step, { placed, ended }] of this.#batches.get(request) ?? []) {
             this.#write("decision", STEP_PROGRESS, {
                 request,
                 step,
-                ...(placed.length > 0 ? { placed: placed.map((row) => toAged(row, now)) } : {}),
-                ...(ended.length > 0 ? { ended: ended.map((row) => toAged(row, now)) } : {}),
+                ...(placed.length > 0
+                    ? { placed: placed.map((row) => toRowWithAge(row, now)) }
+                    : {}),
+                ...(ended.length > 0 ? { ended: ended.map((row) => toRowWithAge(row, now)) } : {}),
             });
         }
-        this.#gathered.delete(request);
+        this.#batches.delete(request);
     }
 
-    #updateSample(kind: LineKind, event: string, request: string): void {
+    #updateSampler(kind: DecisionKind, event: string, request: string): void {
         if (event === "job accepted") {
             this.#sampler.open(request);
         } else if (kind === "failure") {
-            this.#sampler.adopt(request);
+            this.#sampler.ensureSampled(request);
         }
     }
 
     /** @returns Whether the decision goes into a step's line. */
-    #addRow(request: string, event: string, fields: Fields): boolean {
+    #addToBatch(request: string, event: string, fields: Fields): boolean {
         const at = this.#getNow();
         if (event === "attempt placed") {
-            const { step, unit, attempt, waitedMs, workers } = fields as unknown as PlacedRow & {
+            const { step, unit, attempt, waitedMs, workers } = fields as unknown as PlacedUnit & {
                 readonly step: string;
             };
-            this.#ensureRows(request, step).placed.push({ at, unit, attempt, waitedMs, workers });
+            this.#ensureBatch(request, step).placed.push({ at, unit, attempt, waitedMs, workers });
             return true;
         }
         if (event === "task ended" && fields["how"] === "done") {
-            const { task, attempt, worker, tookMs } = fields as unknown as EndedRow;
+            const { task, attempt, worker, tookMs } = fields as unknown as EndedTask;
             const step = task.slice(0, task.lastIndexOf("."));
-            this.#ensureRows(request, step).ended.push({ at, task, attempt, worker, tookMs });
+            this.#ensureBatch(request, step).ended.push({ at, task, attempt, worker, tookMs });
             return true;
         }
         return false;
     }
 
-    #ensureRows(request: string, step: string): StepRows {
-        const steps = this.#gathered.get(request) ?? new Map<string, StepRows>();
-        this.#gathered.set(request, steps);
-        const rows = steps.get(step) ?? { placed: [], ended: [] };
-        steps.set(step, rows);
-        this.#flushTimer ??= setTimeout(() => this.flush(), GATHER_MS).unref();
-        return rows;
+    #ensureBatch(request: string, step: string): StepBatch {
+        const steps = this.#batches.get(request) ?? new Map<string, StepBatch>();
+        this.#batches.set(request, steps);
+        const batch = steps.get(step) ?? { placed: [], ended: [] };
+        steps.set(step, batch);
+        this.#flushTimer ??= setTimeout(() => this.flush(), FLUSH_DELAY_MS).unref();
+        return batch;
     }
 
-    #write(kind: LineKind, event: string, fields: Fields): void {
-        this.#options.log.log(LEVELS[kind], event, fields);
+    #write(kind: DecisionKind, event: string, fields: Fields): void {
+        this.#options.log.log(LOG_LEVELS[kind], event, fields);
         if (kind === "decision") {
             this.#sampler.recordLine();
         }
@@ -165,7 +167,7 @@
 }
 
 /** A row says how long before its line it happened. */
-function toAged<T extends { readonly at: number }>(
+function toRowWithAge<T extends { readonly at: number }>(
     { at, ...row }: T,
     now: number,
 ): Omit<T, "at"> & { agoMs: number } {
--- a/telemetry/decision_log_test.ts
+++ b/telemetry/decision_log_test.ts
@@ -3,33 +3,33 @@
 import { explainRequest } from "./explain.ts";
 import { mergeTimeline } from "./timeline.ts";
 
-interface Written {
+interface LogFixture {
     readonly decisions: DecisionLog;
     readonly clock: { now: number };
     readonly lines: { level: string; message: string; fields: Record<string, unknown> }[];
     /** The lines as a process writes them. */
-    readonly formatLines: () => string;
+    readonly formatOutput: () => string;
 }
 
-function buildLog(linesPerSecond = 1_000_000): Written {
+function buildLog(linesPerSecond = 1_000_000): LogFixture {
     const clock = { now: 0 };
-    const lines: Written["lines"] = [];
-    const stamps: number[] = [];
+    const lines: LogFixture["lines"] = [];
+    const timestamps: number[] = [];
     const decisions = new DecisionLog({
         log: {
             log: (level: string, message: string, fields: Record<string, unknown>) => {
                 lines.push({ level, message, fields });
-                stamps.push(clock.now);
+                timestamps.push(clock.now);
             },
         } as never,
         computeLinesPerSecond: () => linesPerSecond,
         getNow: () => clock.now,
     });
-    const formatLines = (): string =>
+    const formatOutput = (): string =>
         lines
             .map(({ level, message, fields }, i) =>
                 JSON.stringify({
-                    t: stamps[i],
+                    t: timestamps[i],
                     process: "c",
                     zone: "z",
                     level,
@@ -38,11 +38,11 @@
                 }),
             )
             .join("\n");
-    return { decisions, clock, lines, formatLines };
+    return { decisions, clock, lines, formatOutput };
 }
 
 /** The decisions of a job of one step, from its acceptance to its end. */
-function runJob({ decisions, clock }: Written, request: string, tasks: number): void {
+function runJob({ decisions, clock }: LogFixture, request: string, tasks: number): void {
     const step = `${request}.0.0`;
     decisions.record("decision", "job accepted", { request, queue: "q", steps: 1 });
     for (let unit = 0; unit < tasks; unit++) {
@@ -76,7 +76,7 @@
         log.lines.map(({ message }) => message),
         ["job accepted", "job complete", "step progress"],
     );
-    const { events } = explainRequest(mergeTimeline([log.formatLines()]), "a");
+    const { events } = explainRequest(mergeTimeline([log.formatOutput()]), "a");
     const count = (message: string): number => events.filter((e) => e.message === message).length;
     t.is(count("attempt placed"), 20);
     t.is(count("task ended"), 20);
@@ -114,15 +114,15 @@
         log.clock.now = Math.max(log.clock.now, i * 2);
         runJob(log, `job-${i}`, 3);
     }
-    const events = mergeTimeline([log.formatLines()]);
+    const events = mergeTimeline([log.formatOutput()]);
     const counts = new Map<string, number>();
     for (const { request } of events) {
         if (request !== undefined) {
             counts.set(request, (counts.get(request) ?? 0) + 1);
         }
     }
-    const whole = 8;
-    t.deepEqual([...new Set(counts.values())], [whole]);
+    const eventsPerJob = 8;
+    t.deepEqual([...new Set(counts.values())], [eventsPerJob]);
     t.true(counts.size > 100 && counts.size < jobs / 2, `${counts.size} requests told`);
     t.true(log.lines.some(({ message }) => message === "requests sampled"));
 });
@@ -133,11 +133,11 @@
         clock.now += 1;
         decisions.record("decision", "job accepted", { request: `job-${i}` });
     }
-    const before = lines.length;
-    const left = Array.from({ length: 100 }, (_none, i) => `late-${i}`);
-    left.forEach((request) => decisions.record("decision", "job accepted", { request }));
-    const told = new Set(lines.slice(before).map(({ fields }) => fields["request"]));
-    const request = left.find((id) => !told.has(id)) as string;
+    const linesBefore = lines.length;
+    const lateRequests = Array.from({ length: 100 }, (_none, i) => `late-${i}`);
+    lateRequests.forEach((request) => decisions.record("decision", "job accepted", { request }));
+    const loggedRequests = new Set(lines.slice(linesBefore).map(({ fields }) => fields["request"]));
+    const request = lateRequests.find((id) => !loggedRequests.has(id)) as string;
     decisions.record("failure", "start refused", { request, reason: "ticket" });
     decisions.record("decision", "job complete", { request });
     t.deepEqual(
--- a/telemetry/metrics.ts
+++ b/telemetry/entry_metrics.ts
@@ -4,7 +4,7 @@
  *
  * @example
  * ```ts
- * import { createEntryMetrics } from "./metrics.ts";
+ * import { createEntryMetrics } from "./entry_metrics.ts";
  * const metrics = createEntryMetrics();
  * metrics.waitSeconds.observe({ class: "interactive" }, 0.012);
  * ```
@@ -19,9 +19,9 @@
     readonly registry: Registry;
     readonly waitSeconds: Histogram<"class">;
     readonly placements: Counter;
-    readonly finals: Counter<"state">;
-    readonly packingCores: Gauge;
-    readonly queued: Gauge;
+    readonly finishedRequests: Counter<"state">;
+    readonly leasedCoresRatio: Gauge;
+    readonly queuedRequests: Gauge;
     readonly logSyncSeconds: Histogram;
     readonly leading: Gauge<"group">;
 }
@@ -48,18 +48,18 @@
             help: "Leases offered.",
             registers: [registry],
         }),
-        finals: new Counter({
+        finishedRequests: new Counter({
             name: "poplarhead_requests_final_total",
             help: "Requests that reached an end state, per state.",
             labelNames: ["state"],
             registers: [registry],
         }),
-        packingCores: new Gauge({
+        leasedCoresRatio: new Gauge({
             name: "poplarhead_packing_cores_ratio",
             help: "Share of the cell's cores held by leases.",
             registers: [registry],
         }),
-        queued: new Gauge({
+        queuedRequests: new Gauge({
             name: "poplarhead_queued_requests",
             help: "Requests waiting.",
             registers: [registry],
--- a/telemetry/loop_watch.ts
+++ b/telemetry/event_loop_monitor.ts
@@ -5,7 +5,7 @@
  *
  * @example
  * ```ts
- * import { LoopWatch } from "./loop_watch.ts";
+ * import { LoopWatch } from "./event_loop_monitor.ts";
  * const watch = new LoopWatch({ onHeld: (heldMs) => log.warn("event loop held", { heldMs }) });
  * watch.start();
  * ```
@@ -13,37 +13,37 @@
  * @module
  */
 
-/** Options of {@link LoopWatch}. */
-export interface LoopWatchOptions {
+/** Options of {@link EventLoopMonitor}. */
+export interface EventLoopMonitorOptions {
     /** Takes the length of a long turn, in ms. */
-    readonly onHeld: (heldMs: number) => void;
+    readonly onBlocked: (heldMs: number) => void;
     readonly getNow?: () => number;
 }
 
 /** How often the loop is asked to turn, in ms: half of what is told of. */
-const PROBE_MS = 50;
+const PROBE_INTERVAL_MS = 50;
 /** Turns from this length on are told of, in ms: two heartbeats of a leader. */
-const HELD_MS = 100;
+const MIN_BLOCKED_MS = 100;
 
 /** Watches this process's event loop. */
-export class LoopWatch {
-    readonly #options: LoopWatchOptions;
+export class EventLoopMonitor {
+    readonly #options: EventLoopMonitorOptions;
     readonly #getNow: () => number;
-    #dueAt = 0;
+    #dueAtMs = 0;
     #timer: NodeJS.Timeout | undefined;
 
     /**
      * @param options Where to tell it.
      */
-    constructor(options: LoopWatchOptions) {
+    constructor(options: EventLoopMonitorOptions) {
         this.#options = options;
         this.#getNow = options.getNow ?? (() => performance.now());
     }
 
     /** Starts watching; it does not keep the process alive. */
     start(): void {
-        this.#dueAt = this.#getNow() + PROBE_MS;
-        this.#timer = setInterval(() => this.checkTurn(), PROBE_MS);
+        this.#dueAtMs = this.#getNow() + PROBE_INTERVAL_MS;
+        this.#timer = setInterval(() => this.checkDelay(), PROBE_INTERVAL_MS);
         this.#timer.unref();
     }
 
@@ -53,12 +53,12 @@
     }
 
     /** Compares the time with when this turn was due. */
-    checkTurn(): void {
-        const now = this.#getNow();
-        const heldMs = now - this.#dueAt;
-        this.#dueAt = now + PROBE_MS;
-        if (heldMs >= HELD_MS) {
-            this.#options.onHeld(heldMs);
+    checkDelay(): void {
+        const nowMs = this.#getNow();
+        const blockedMs = nowMs - this.#dueAtMs;
+        this.#dueAtMs = nowMs + PROBE_INTERVAL_MS;
+        if (blockedMs >= MIN_BLOCKED_MS) {
+            this.#options.onBlocked(blockedMs);
         }
     }
 }
--- a/telemetry/explain.ts
+++ b/telemetry/explain.ts
@@ -34,7 +34,7 @@
 /** A step that waited longer than this for a worker waited, in ms: advice alone takes up to 0.8 s. */
 const LONG_WAIT_MS = 1_000;
 /** Events shortly before the request's first line may explain it, in ms. */
-const BEFORE_MS = 3_000;
+const LOOKBACK_MS = 3_000;
 
 /**
  * Explains a request.
@@ -44,31 +44,38 @@
  * @returns Its events with their surroundings, and the causes found.
  */
 export function explainRequest(events: readonly TimelineEvent[], request: string): Explanation {
-    const own = events.filter((event) => isAbout(event, request));
-    const first = own[0]?.t ?? 0;
-    const last = own.at(-1)?.t ?? 0;
-    const workers = new Set(own.flatMap((event) => listWorkers(event)));
-    const around = events.filter(
+    const requestEvents = events.filter((event) => isOfRequest(event, request));
+    const firstMs = requestEvents[0]?.t ?? 0;
+    const lastMs = requestEvents.at(-1)?.t ?? 0;
+    const workers = new Set(requestEvents.flatMap((event) => listWorkers(event)));
+    const relatedEvents = events.filter(
         (event) =>
-            event.t >= first - BEFORE_MS &&
-            event.t <= last &&
+            event.t >= firstMs - LOOKBACK_MS &&
+            event.t <= lastMs &&
             (LEADER_EVENTS.has(event.message) || isOfWorker(event, workers)),
     );
-    const all = [...new Set([...own, ...around])].sort((a, b) => a.t - b.t);
-    return { events: own.length === 0 ? [] : all, causes: listCauses(own, around) };
+    const all = [...new Set([...requestEvents, ...relatedEvents])].sort((a, b) => a.t - b.t);
+    return {
+        events: requestEvents.length === 0 ? [] : all,
+        causes: listCauses(requestEvents, relatedEvents),
+    };
 }
 
-function listCauses(own: readonly TimelineEvent[], around: readonly TimelineEvent[]): string[] {
-    if (own.length === 0) {
+function listCauses(
+    requestEvents: readonly TimelineEvent[],
+    relatedEvents: readonly TimelineEvent[],
+): string[] {
+    if (requestEvents.length === 0) {
         return ["no process logged this request: it reached no leader, or its lines were given up"];
     }
     const causes: string[] = [];
-    const has = (message: string): boolean => own.some((event) => event.message === message);
-    if (has("no leader for a call") && !has("job accepted")) {
+    const hasMessage = (message: string): boolean =>
+        requestEvents.some((event) => event.message === message);
+    if (hasMessage("no leader for a call") && !hasMessage("job accepted")) {
         causes.push("no leader could be reached while it was handed in");
     }
-    causes.push(...countEnds(own));
-    for (const event of own) {
+    causes.push(...summarizeAbnormalEnds(requestEvents));
+    for (const event of requestEvents) {
         if (event.message === "job failed") {
             causes.push(`a task failed as often as its queue allows (${String(event["limit"])})`);
         } else if (event.message === "start refused") {
@@ -81,7 +88,7 @@
             );
         }
     }
-    for (const event of around) {
+    for (const event of relatedEvents) {
         if (event.message === "lead lost") {
             causes.push(`the leader ${event.process} was lost meanwhile`);
         } else if (event.message === "worker gone" || event.message === "lease over") {
@@ -92,12 +99,12 @@
 }
 
 /** Ends other than `done`, counted by kind. */
-function countEnds(own: readonly TimelineEvent[]): string[] {
+function summarizeAbnormalEnds(requestEvents: readonly TimelineEvent[]): string[] {
     const counts = new Map<string, number>();
-    for (const event of own) {
-        const how = event.message === "task ended" ? String(event["how"]) : "done";
-        if (how !== "done") {
-            counts.set(how, (counts.get(how) ?? 0) + 1);
+    for (const event of requestEvents) {
+        const outcome = event.message === "task ended" ? String(event["how"]) : "done";
+        if (outcome !== "done") {
+            counts.set(outcome, (counts.get(outcome) ?? 0) + 1);
         }
     }
     return [...counts].map(([how, count]) => `${count} of its runs ended ${how}`);
@@ -107,7 +114,7 @@
     return Number(event["waitedMs"]) > LONG_WAIT_MS;
 }
 
-function isAbout(event: TimelineEvent, request: string): boolean {
+function isOfRequest(event: TimelineEvent, request: string): boolean {
     return event.request === request || String(event["path"] ?? "").endsWith(`/${request}`);
 }
 
--- a/telemetry/log_sink.ts
+++ b/telemetry/log_sink.ts
@@ -21,9 +21,9 @@
     /** The file descriptor; standard output by default. */
     readonly fd?: number;
     /** The most bytes that wait, for lines that may be given up. */
-    readonly maxWaitingBytes?: number;
+    readonly maxQueuedBytes?: number;
     /** Further bytes, for lines that tell of failures. */
-    readonly reservedBytes?: number;
+    readonly failureReserveBytes?: number;
     /** Lines a second in the long run; failures do not count. */
     readonly linesPerSecond?: number;
     /** Writes bytes; replaced in tests. */
@@ -36,55 +36,55 @@
 }
 
 /** Some seconds of a busy leader's lines, while the reader stalls. */
-const DEFAULT_MAX_WAITING_BYTES = 1_000_000;
-const DEFAULT_RESERVED_BYTES = 250_000;
+const DEFAULT_MAX_QUEUED_BYTES = 1_000_000;
+const DEFAULT_FAILURE_RESERVE_BYTES = 250_000;
 /** A last resort above what a leader's own sampling lets through; 0.4 MB/s at the most. */
 const DEFAULT_LINES_PER_SECOND = 2_000;
 /** Lines that may come at once after a quiet time, in seconds of the long-run rate. */
 const BURST_SECONDS = 4;
 /** Lines are gathered for this long, in ms: one write for many lines. */
-const GATHER_MS = 50;
+const FLUSH_DELAY_MS = 50;
 /** Linux's PIPE_BUF: a write of so many bytes reaches a pipe in one piece. */
-const BLOCK_BYTES = 4_096;
+const MAX_BLOCK_BYTES = 4_096;
 
 /** Queued lines on their way out. */
 export class LogSink {
     readonly #fd: number;
-    readonly #maxWaitingBytes: number;
-    readonly #reservedBytes: number;
+    readonly #maxQueuedBytes: number;
+    readonly #failureReserveBytes: number;
     readonly #linesPerSecond: number;
     readonly #writeBytes: NonNullable<LogSinkOptions["writeBytes"]>;
     readonly #getNow: () => number;
-    #waiting: string[] = [];
-    #waitingBytes = 0;
-    #dropped = 0;
+    #queue: string[] = [];
+    #queuedBytes = 0;
+    #droppedLines = 0;
     #isWriting = false;
-    #isScheduled = false;
+    #isFlushScheduled = false;
     #tokens: number;
-    #refilledAt: number;
+    #refilledAtMs: number;
 
     /**
      * @param options Where to write, how much may wait; see {@link LogSinkOptions}.
      */
     constructor(options: LogSinkOptions = {}) {
         this.#fd = options.fd ?? 1;
-        this.#maxWaitingBytes = options.maxWaitingBytes ?? DEFAULT_MAX_WAITING_BYTES;
-        this.#reservedBytes = options.reservedBytes ?? DEFAULT_RESERVED_BYTES;
+        this.#maxQueuedBytes = options.maxQueuedBytes ?? DEFAULT_MAX_QUEUED_BYTES;
+        this.#failureReserveBytes = options.failureReserveBytes ?? DEFAULT_FAILURE_RESERVE_BYTES;
         this.#linesPerSecond = options.linesPerSecond ?? DEFAULT_LINES_PER_SECOND;
         this.#writeBytes = options.writeBytes ?? ((fd, bytes, done) => write(fd, bytes, done));
         this.#getNow = options.getNow ?? (() => performance.now());
         this.#tokens = this.#linesPerSecond * BURST_SECONDS;
-        this.#refilledAt = this.#getNow();
+        this.#refilledAtMs = this.#getNow();
     }
 
     /** Bytes that wait. */
-    get waitingBytes(): number {
-        return this.#waitingBytes;
+    get queuedBytes(): number {
+        return this.#queuedBytes;
     }
 
     /** Lines given up and not told of yet. */
-    get dropped(): number {
-        return this.#dropped;
+    get droppedLines(): number {
+        return this.#droppedLines;
     }
 
     /**
@@ -95,14 +95,14 @@
      * full too.
      */
     write(line: string, isFailure: boolean): void {
-        const limit = this.#maxWaitingBytes + (isFailure ? this.#reservedBytes : 0);
+        const limit = this.#maxQueuedBytes + (isFailure ? this.#failureReserveBytes : 0);
         const isWithinRate = isFailure || this.#takeToken();
-        if (!isWithinRate || this.#waitingBytes + line.length > limit) {
-            this.#dropped += 1;
+        if (!isWithinRate || this.#queuedBytes + line.length > limit) {
+            this.#droppedLines += 1;
             return;
         }
-        this.#waiting.push(line);
-        this.#waitingBytes += line.length;
+        this.#queue.push(line);
+        this.#queuedBytes += line.length;
         this.#scheduleFlush();
     }
 
@@ -111,19 +111,19 @@
      *
      * @returns Once it is written, or after `limitMs`.
      */
-    async close(limitMs = 200): Promise<void> {
-        const deadline = this.#getNow() + limitMs;
+    async close(timeoutMs = 200): Promise<void> {
+        const deadlineMs = this.#getNow() + timeoutMs;
         this.#flush();
-        while ((this.#isWriting || this.#waiting.length > 0) && this.#getNow() < deadline) {
+        while ((this.#isWriting || this.#queue.length > 0) && this.#getNow() < deadlineMs) {
             await new Promise((resolve) => setTimeout(resolve, 5));
         }
     }
 
     #takeToken(): boolean {
-        const now = this.#getNow();
-        const gained = ((now - this.#refilledAt) / 1_000) * this.#linesPerSecond;
-        this.#tokens = Math.min(this.#linesPerSecond * BURST_SECONDS, this.#tokens + gained);
-        this.#refilledAt = now;
+        const nowMs = this.#getNow();
+        const refill = ((nowMs - this.#refilledAtMs) / 1_000) * this.#linesPerSecond;
+        this.#tokens = Math.min(this.#linesPerSecond * BURST_SECONDS, this.#tokens + refill);
+        this.#refilledAtMs = nowMs;
         if (this.#tokens < 1) {
             return false;
         }
@@ -132,25 +132,29 @@
     }
 
     #scheduleFlush(): void {
-        if (!this.#isScheduled) {
-            this.#isScheduled = true;
-            setTimeout(() => this.#flush(), GATHER_MS);
+        if (!this.#isFlushScheduled) {
+            this.#isFlushScheduled = true;
+            setTimeout(() => this.#flush(), FLUSH_DELAY_MS);
         }
     }
 
     #flush(): void {
-        this.#isScheduled = false;
-        if (this.#isWriting || this.#waiting.length === 0) {
+        this.#isFlushScheduled = false;
+        if (this.#isWriting || this.#queue.length === 0) {
             return;
         }
-        if (this.#dropped > 0) {
-            const note = { level: "warn", message: "log lines given up", count: this.#dropped };
-            this.#waiting.push(`${JSON.stringify(note)}\n`);
-            this.#dropped = 0;
+        if (this.#droppedLines > 0) {
+            const note = {
+                level: "warn",
+                message: "log lines given up",
+                count: this.#droppedLines,
+            };
+            this.#queue.push(`${JSON.stringify(note)}\n`);
+            this.#droppedLines = 0;
         }
-        const blocks = formatBlocks(this.#waiting);
-        this.#waiting = [];
-        this.#waitingBytes = 0;
+        const blocks = formatBlocks(this.#queue);
+        this.#queue = [];
+        this.#queuedBytes = 0;
         this.#isWriting = true;
         this.#sendBlocks(blocks);
     }
@@ -159,7 +163,7 @@
         const [first, ...rest] = blocks;
         if (first === undefined) {
             this.#isWriting = false;
-            if (this.#waiting.length > 0) {
+            if (this.#queue.length > 0) {
                 this.#scheduleFlush();
             }
             return;
@@ -187,7 +191,7 @@
     const blocks: Buffer[] = [];
     let text = "";
     for (const line of lines) {
-        if (text !== "" && text.length + line.length > BLOCK_BYTES) {
+        if (text !== "" && text.length + line.length > MAX_BLOCK_BYTES) {
             blocks.push(Buffer.from(text));
             text = "";
         }
--- a/telemetry/log_sink_test.ts
+++ b/telemetry/log_sink_test.ts
@@ -2,7 +2,7 @@
 import { LogSink } from "./log_sink.ts";
 import { createLogger } from "./logger.ts";
 
-interface StalledReader {
+interface StalledSink {
     readonly sink: LogSink;
     readonly release: () => void;
     readonly texts: string[];
@@ -10,13 +10,13 @@
 }
 
 /** A sink whose reader takes nothing until it is released. */
-function buildStalled(): StalledReader {
+function buildStalledSink(): StalledSink {
     const pending: (() => void)[] = [];
     const texts: string[] = [];
     const clock = { now: 0 };
     const sink = new LogSink({
-        maxWaitingBytes: 1_000,
-        reservedBytes: 200,
+        maxQueuedBytes: 1_000,
+        failureReserveBytes: 200,
         linesPerSecond: 1_000,
         getNow: () => clock.now,
         writeBytes: (_fd, bytes, done) => {
@@ -32,42 +32,42 @@
 test("a stalled reader neither blocks nor grows the queue without bound", async (t) => {
     // The process goes on deciding. Its lines wait up to the limit; lines of failures have a
     // reserve; what is given up is counted and told once the reader is back.
-    const { sink, release, texts } = buildStalled();
+    const { sink, release, texts } = buildStalledSink();
     sink.write(LINE, false);
     await new Promise((resolve) => setTimeout(resolve, 80));
     for (let i = 0; i < 100; i++) {
         sink.write(LINE, false);
     }
-    t.is(sink.waitingBytes, 1_000);
-    t.is(sink.dropped, 90);
+    t.is(sink.queuedBytes, 1_000);
+    t.is(sink.droppedLines, 90);
     sink.write(LINE, true);
     sink.write(LINE, true);
     sink.write(LINE, true);
-    t.is(sink.waitingBytes, 1_200);
+    t.is(sink.queuedBytes, 1_200);
     release();
     await new Promise((resolve) => setTimeout(resolve, 120));
     t.regex(texts[1] ?? "", /"log lines given up","count":91/);
 });
 
 test("the rate is bounded in the long run, failures are not counted", (t) => {
-    const { sink, clock } = buildStalled();
-    const rated = new LogSink({
+    const { sink, clock } = buildStalledSink();
+    const rateLimitedSink = new LogSink({
         linesPerSecond: 10,
         getNow: () => clock.now,
         writeBytes: (_fd, bytes, done) => done(null, bytes.length),
     });
     for (let i = 0; i < 100; i++) {
-        rated.write("a\n", false);
+        rateLimitedSink.write("a\n", false);
     }
-    t.is(rated.dropped, 60);
+    t.is(rateLimitedSink.droppedLines, 60);
     clock.now += 1_000;
     for (let i = 0; i < 100; i++) {
-        rated.write("a\n", false);
+        rateLimitedSink.write("a\n", false);
     }
-    t.is(rated.dropped, 150);
-    rated.write("a\n", true);
-    t.is(rated.dropped, 150);
-    t.is(sink.dropped, 0);
+    t.is(rateLimitedSink.droppedLines, 150);
+    rateLimitedSink.write("a\n", true);
+    t.is(rateLimitedSink.droppedLines, 150);
+    t.is(sink.droppedLines, 0);
 });
 
 test("what changes the group's state is written when a busy leader's other lines are given up", (t) => {
@@ -80,8 +80,8 @@
     const log = createLogger({ process: "c1", zone: "z", sink });
     log.info("task ended");
     log.notice("configuration set", { version: 19 });
-    t.is(sink.dropped, 1);
-    t.true(sink.waitingBytes > 0);
+    t.is(sink.droppedLines, 1);
+    t.true(sink.queuedBytes > 0);
 });
 
 test("a burst of lines goes out in blocks that a pipe takes whole", async (t) => {
--- a/telemetry/mod.ts
+++ b/telemetry/mod.ts
@@ -10,12 +10,12 @@
  */
 
 export * from "./logger.ts";
-export * from "./metrics.ts";
+export * from "./entry_metrics.ts";
 export * from "./timeline.ts";
 export * from "./audit.ts";
 export * from "./control_metrics.ts";
-export * from "./counted_log.ts";
-export * from "./loop_watch.ts";
+export * from "./rate_limited_log.ts";
+export * from "./event_loop_monitor.ts";
 export * from "./log_sink.ts";
 export * from "./causes.ts";
 export * from "./explain.ts";
--- a/telemetry/counted_log.ts
+++ b/telemetry/rate_limited_log.ts
@@ -3,7 +3,7 @@
  *
  * @example
  * ```ts
- * import { CountedLog } from "./counted_log.ts";
+ * import { CountedLog } from "./rate_limited_log.ts";
  * const lapses = new CountedLog((fields) => log.warn("lease lapsed for calls", fields));
  * lapses.add();
  * ```
@@ -12,27 +12,27 @@
  */
 
 /** Time between two lines, in ms: short enough to place them beside other lines of an outage. */
-const REPORT_EVERY_MS = 1_000;
+const REPORT_INTERVAL_MS = 1_000;
 
 /** What a line tells: how many there were, and what is known of the last one. */
-export interface CountedFields {
+export interface RateLimitedFields {
     readonly count: number;
     readonly [field: string]: unknown;
 }
 
 /** Counts events and reports them. */
-export class CountedLog {
-    readonly #report: (fields: CountedFields) => void;
+export class RateLimitedLog {
+    readonly #report: (fields: RateLimitedFields) => void;
     readonly #getNow: () => number;
     #count = 0;
-    #reportedAt = Number.NEGATIVE_INFINITY;
+    #reportedAtMs = Number.NEGATIVE_INFINITY;
 
     /**
      * @param report Writes the line.
      * @param getNow A clock that never goes back, in ms.
      */
     constructor(
-        report: (fields: CountedFields) => void,
+        report: (fields: RateLimitedFields) => void,
         getNow: () => number = () => performance.now(),
     ) {
         this.#report = report;
@@ -47,8 +47,8 @@
     add(fields: Readonly<Record<string, unknown>> = {}): void {
         this.#count += 1;
         const now = this.#getNow();
-        if (now - this.#reportedAt >= REPORT_EVERY_MS) {
-            this.#reportedAt = now;
+        if (now - this.#reportedAtMs >= REPORT_INTERVAL_MS) {
+            this.#reportedAtMs = now;
             this.#report({ ...fields, count: this.#count });
             this.#count = 0;
         }
--- a/telemetry/counted_log_test.ts
+++ b/telemetry/rate_limited_log_test.ts
@@ -1,10 +1,10 @@
 import test from "ava";
-import { CountedLog, type CountedFields } from "./counted_log.ts";
+import { RateLimitedLog, type RateLimitedFields } from "./rate_limited_log.ts";
 
 test("one line a second at most tells how many there were and of the last one", (t) => {
-    const lines: CountedFields[] = [];
+    const lines: RateLimitedFields[] = [];
     const clock = { now: 0 };
-    const log = new CountedLog(
+    const log = new RateLimitedLog(
         (fields) => lines.push(fields),
         () => clock.now,
     );
--- a/telemetry/request_sampler.ts
+++ b/telemetry/request_sampler.ts
@@ -30,7 +30,7 @@
 /** Time over which lines are counted, in ms. */
 const WINDOW_MS = 1_000;
 /** The share is doubled again only when twice the lines of the last window would still fit with room to spare. */
-const RAISE_BELOW = 0.4;
+const RAISE_THRESHOLD = 0.4;
 /** One request of a thousand is told of at the least. */
 const MAX_HALVINGS = 10;
 
@@ -39,10 +39,10 @@
     readonly #options: RequestSamplerOptions;
     readonly #getNow: () => number;
     /** Requests under way whose lot is cast. */
-    readonly #told = new Map<string, boolean>();
+    readonly #isSampledByRequest = new Map<string, boolean>();
     #halvings = 0;
     #lines = 0;
-    #windowAt: number;
+    #windowStartMs: number;
 
     /**
      * @param options The limit; see {@link RequestSamplerOptions}.
@@ -50,11 +50,11 @@
     constructor(options: RequestSamplerOptions) {
         this.#options = options;
         this.#getNow = options.getNow ?? (() => performance.now());
-        this.#windowAt = this.#getNow();
+        this.#windowStartMs = this.#getNow();
     }
 
     /** The share of new requests that is told of, from 0 to 1. */
-    get share(): number {
+    get sampleRate(): number {
         return 1 / 2 ** this.#halvings;
     }
 
@@ -64,7 +64,7 @@
      * @param request The request's id.
      */
     open(request: string): void {
-        this.#told.set(request, this.#isDrawn(request));
+        this.#isSampledByRequest.set(request, this.#isInSample(request));
     }
 
     /**
@@ -73,8 +73,8 @@
      * @param request The request's id.
      * @returns True for one that was drawn, or had a failure.
      */
-    isTold(request: string): boolean {
-        return this.#told.get(request) ?? this.#isDrawn(request);
+    isSampled(request: string): boolean {
+        return this.#isSampledByRequest.get(request) ?? this.#isInSample(request);
     }
 
     /**
@@ -82,8 +82,8 @@
      *
      * @param request The request's id.
      */
-    adopt(request: string): void {
-        this.#told.set(request, true);
+    ensureSampled(request: string): void {
+        this.#isSampledByRequest.set(request, true);
     }
 
     /**
@@ -92,35 +92,35 @@
      * @param request The request's id.
      */
     close(request: string): void {
-        this.#told.delete(request);
+        this.#isSampledByRequest.delete(request);
     }
 
     /** Counts a line that goes out. */
     recordLine(): void {
         this.#lines += 1;
-        const now = this.#getNow();
-        if (now - this.#windowAt < WINDOW_MS) {
+        const nowMs = this.#getNow();
+        if (nowMs - this.#windowStartMs < WINDOW_MS) {
             return;
         }
-        const perSecond = (this.#lines * 1_000) / (now - this.#windowAt);
-        this.#windowAt = now;
+        const linesPerSecond = (this.#lines * 1_000) / (nowMs - this.#windowStartMs);
+        this.#windowStartMs = nowMs;
         this.#lines = 0;
-        this.#updateShare(perSecond, this.#options.computeLinesPerSecond());
+        this.#updateSampleRate(linesPerSecond, this.#options.computeLinesPerSecond());
     }
 
-    #updateShare(perSecond: number, limit: number): void {
+    #updateSampleRate(linesPerSecond: number, maxLinesPerSecond: number): void {
         const before = this.#halvings;
-        if (perSecond > limit) {
+        if (linesPerSecond > maxLinesPerSecond) {
             this.#halvings = Math.min(MAX_HALVINGS, before + 1);
-        } else if (perSecond < RAISE_BELOW * limit) {
+        } else if (linesPerSecond < RAISE_THRESHOLD * maxLinesPerSecond) {
             this.#halvings = Math.max(0, before - 1);
         }
         if (this.#halvings !== before) {
-            this.#options.onChange?.(this.share);
+            this.#options.onChange?.(this.sampleRate);
         }
     }
 
-    #isDrawn(request: string): boolean {
+    #isInSample(request: string): boolean {
         return this.#halvings === 0 || computeHash(request) % 2 ** this.#halvings === 0;
     }
 }
--- a/telemetry/stages.ts
+++ b/telemetry/stages.ts
@@ -12,7 +12,7 @@
  * @module
  */
 
-import { listByRequest, type TimelineEvent } from "./timeline.ts";
+import { collectByRequest, type TimelineEvent } from "./timeline.ts";
 
 /** The stages of a job's first step and its end, in order. */
 export const STAGES = [
@@ -37,10 +37,10 @@
 export interface StageRow {
     readonly queue: string;
     /** Start of the span, in ms since 1970; the first event when there are no spans. */
-    readonly since: number;
+    readonly spanStartMs: number;
     readonly jobs: number;
     /** Ms since the job was accepted, ascending. */
-    readonly times: ReadonlyMap<Stage, readonly number[]>;
+    readonly latenciesMs: ReadonlyMap<Stage, readonly number[]>;
 }
 
 /** Options of {@link listStageRows}. */
@@ -49,14 +49,14 @@
     readonly spanMs?: number;
 }
 
-interface GrowingRow extends StageRow {
+interface MutableStageRow extends StageRow {
     jobs: number;
-    readonly times: Map<Stage, number[]>;
+    readonly latenciesMs: Map<Stage, number[]>;
 }
 
 const PERCENTILES = [50, 95, 99];
 /** The longest bar of the plot, in characters. */
-const BAR_LENGTH = 40;
+const MAX_BAR_LENGTH = 40;
 
 /**
  * Gathers the times at which jobs reached each stage.
@@ -69,29 +69,36 @@
     events: readonly TimelineEvent[],
     options: StageOptions = {},
 ): StageRow[] {
-    const rows = new Map<string, GrowingRow>();
-    const first = events[0]?.t ?? 0;
-    for (const own of listByRequest(events).values()) {
-        const accepted = own.find(({ message }) => message === "job accepted");
+    const rows = new Map<string, MutableStageRow>();
+    const firstMs = events[0]?.t ?? 0;
+    for (const requestEvents of collectByRequest(events).values()) {
+        const accepted = requestEvents.find(({ message }) => message === "job accepted");
         if (accepted === undefined) {
             continue;
         }
         const queue = String(accepted["queue"]);
-        const since = computeSince(accepted.t, first, options.spanMs);
-        const key = `${queue} ${since}`;
-        const row: GrowingRow = rows.get(key) ?? { queue, since, jobs: 0, times: new Map() };
+        const spanStartMs = computeSpanStart(accepted.t, firstMs, options.spanMs);
+        const key = `${queue} ${spanStartMs}`;
+        const row: MutableStageRow = rows.get(key) ?? {
+            queue,
+            spanStartMs,
+            jobs: 0,
+            latenciesMs: new Map(),
+        };
         rows.set(key, row);
         row.jobs += 1;
-        for (const [stage, at] of listStageTimes(own)) {
-            const times = row.times.get(stage) ?? [];
-            times.push(at - accepted.t);
-            row.times.set(stage, times);
+        for (const [stage, at] of listStageTimes(requestEvents)) {
+            const latenciesMs = row.latenciesMs.get(stage) ?? [];
+            latenciesMs.push(at - accepted.t);
+            row.latenciesMs.set(stage, latenciesMs);
         }
     }
     for (const row of rows.values()) {
-        row.times.forEach((times) => times.sort((a, b) => a - b));
+        row.latenciesMs.forEach((latenciesMs) => latenciesMs.sort((a, b) => a - b));
     }
-    return [...rows.values()].sort((a, b) => a.queue.localeCompare(b.queue) || a.since - b.since);
+    return [...rows.values()].sort(
+        (a, b) => a.queue.localeCompare(b.queue) || a.spanStartMs - b.spanStartMs,
+    );
 }
 
 /**
@@ -101,61 +108,79 @@
  * @returns Lines of text.
  */
 export function formatStages(rows: readonly StageRow[]): string {
-    const first = Math.min(...rows.map(({ since }) => since));
-    const medians = rows.flatMap(({ times }) => [...times.values()].map((t) => getAt(t, 50)));
-    const most = Math.max(1, ...medians);
+    const firstSpanStartMs = Math.min(...rows.map(({ spanStartMs }) => spanStartMs));
+    const medians = rows.flatMap(({ latenciesMs }) =>
+        [...latenciesMs.values()].map((t) => computePercentile(t, 50)),
+    );
+    const maxMedianMs = Math.max(1, ...medians);
     const lines = rows.flatMap((row) => [
-        `${row.queue}: ${row.jobs} jobs accepted from ${((row.since - first) / 1_000).toFixed(1)} s`,
-        ...STAGES.flatMap((stage) => formatStage(stage, row.times.get(stage), most)),
+        `${row.queue}: ${row.jobs} jobs accepted from ${((row.spanStartMs - firstSpanStartMs) / 1_000).toFixed(1)} s`,
+        ...STAGES.flatMap((stage) => formatStage(stage, row.latenciesMs.get(stage), maxMedianMs)),
     ]);
     const titles = PERCENTILES.map((p) => `p${p}`.padStart(7)).join("");
     return [`${"ms since accepted".padEnd(20)}${"jobs".padStart(6)}${titles}`, ...lines].join("\n");
 }
 
-function formatStage(stage: Stage, times: readonly number[] | undefined, most: number): string[] {
-    if (times === undefined) {
+function formatStage(
+    stage: Stage,
+    latenciesMs: readonly number[] | undefined,
+    maxMedianMs: number,
+): string[] {
+    if (latenciesMs === undefined) {
         return [];
     }
-    const values = PERCENTILES.map((p) => String(getAt(times, p)).padStart(7)).join("");
-    const bar = "#".repeat(Math.ceil((getAt(times, 50) * BAR_LENGTH) / most));
-    return [`  ${stage.padEnd(18)}${String(times.length).padStart(6)}${values}  ${bar}`.trimEnd()];
+    const values = PERCENTILES.map((p) =>
+        String(computePercentile(latenciesMs, p)).padStart(7),
+    ).join("");
+    const bar = "#".repeat(
+        Math.ceil((computePercentile(latenciesMs, 50) * MAX_BAR_LENGTH) / maxMedianMs),
+    );
+    return [
+        `  ${stage.padEnd(18)}${String(latenciesMs.length).padStart(6)}${values}  ${bar}`.trimEnd(),
+    ];
 }
 
-function computeSince(t: number, first: number, spanMs: number | undefined): number {
-    return spanMs === undefined ? first : first + Math.floor((t - first) / spanMs) * spanMs;
+function computeSpanStart(t: number, firstMs: number, spanMs: number | undefined): number {
+    return spanMs === undefined ? firstMs : firstMs + Math.floor((t - firstMs) / spanMs) * spanMs;
 }
 
 /** When a job reached each stage, as far as its lines tell; in ms since 1970. */
-function listStageTimes(own: readonly TimelineEvent[]): Map<Stage, number> {
+function listStageTimes(requestEvents: readonly TimelineEvent[]): Map<Stage, number> {
     const times = new Map<Stage, number>();
-    const advised = own.find(({ message }) => message === "advice received");
+    const advised = requestEvents.find(({ message }) => message === "advice received");
     if (advised !== undefined) {
         times.set("asked", advised.t - Number(advised["tookMs"] ?? 0));
         times.set("advised", advised.t);
     }
-    const placed = own.filter(({ message }) => message === "attempt placed");
+    const placed = requestEvents.filter(({ message }) => message === "attempt placed");
     const step = placed[0]?.["step"];
-    const firstTries = placed.filter((event) => event["step"] === step && event["attempt"] === 1);
-    setFirst(times, "placed", placed);
-    const last = firstTries.at(-1);
-    if (last !== undefined) {
-        times.set("all placed", last.t);
+    const firstAttempts = placed.filter(
+        (event) => event["step"] === step && event["attempt"] === 1,
+    );
+    setFirstTime(times, "placed", placed);
+    const lastPlacement = firstAttempts.at(-1);
+    if (lastPlacement !== undefined) {
+        times.set("all placed", lastPlacement.t);
     }
-    const starts = own
+    const startTimesMs = requestEvents
         .filter(({ message, how }) => message === "task ended" && how === "done")
         .map(({ t, tookMs }) => t - Number(tookMs));
-    if (starts.length > 0) {
-        times.set("running", Math.min(...starts));
+    if (startTimesMs.length > 0) {
+        times.set("running", Math.min(...startTimesMs));
     }
-    setFirst(
+    setFirstTime(
         times,
         "complete",
-        own.filter(({ message }) => message === "job complete"),
+        requestEvents.filter(({ message }) => message === "job complete"),
     );
     return times;
 }
 
-function setFirst(times: Map<Stage, number>, stage: Stage, events: readonly TimelineEvent[]): void {
+function setFirstTime(
+    times: Map<Stage, number>,
+    stage: Stage,
+    events: readonly TimelineEvent[],
+): void {
     const first = events[0];
     if (first !== undefined) {
         times.set(stage, first.t);
@@ -163,7 +188,7 @@
 }
 
 /** The nearest-rank percentile of ascending values. */
-function getAt(sorted: readonly number[], percentile: number): number {
+function computePercentile(sorted: readonly number[], percentile: number): number {
     const rank = Math.max(1, Math.ceil((percentile / 100) * sorted.length));
     return Math.round(sorted[rank - 1] ?? 0);
 }
--- a/telemetry/stages_test.ts
+++ b/telemetry/stages_test.ts
@@ -7,17 +7,27 @@
 }
 
 /** A job of one step with two tasks, placed some time after its acceptance. */
-function buildJob(request: string, queue: string, at: number, waitMs: number): TimelineEvent[] {
+function buildJob(
+    request: string,
+    queue: string,
+    acceptedAtMs: number,
+    waitMs: number,
+): TimelineEvent[] {
     const step = `${request}.0.0`;
-    const placedAt = at + waitMs;
+    const placedAtMs = acceptedAtMs + waitMs;
     return [
-        buildEvent(at, "job accepted", { request, queue }),
-        buildEvent(at + 60, "advice received", { request, step, queuedMs: 10, tookMs: 40 }),
-        buildEvent(placedAt, "attempt placed", { request, step, unit: 0, attempt: 1 }),
-        buildEvent(placedAt + 100, "attempt placed", { request, step, unit: 1, attempt: 1 }),
-        buildEvent(placedAt + 500, "task ended", { request, how: "done", tookMs: 495 }),
-        buildEvent(placedAt + 700, "attempt placed", { request, step, unit: 1, attempt: 2 }),
-        buildEvent(placedAt + 900, "job complete", { request }),
+        buildEvent(acceptedAtMs, "job accepted", { request, queue }),
+        buildEvent(acceptedAtMs + 60, "advice received", {
+            request,
+            step,
+            queuedMs: 10,
+            tookMs: 40,
+        }),
+        buildEvent(placedAtMs, "attempt placed", { request, step, unit: 0, attempt: 1 }),
+        buildEvent(placedAtMs + 100, "attempt placed", { request, step, unit: 1, attempt: 1 }),
+        buildEvent(placedAtMs + 500, "task ended", { request, how: "done", tookMs: 495 }),
+        buildEvent(placedAtMs + 700, "attempt placed", { request, step, unit: 1, attempt: 2 }),
+        buildEvent(placedAtMs + 900, "job complete", { request }),
     ];
 }
 
@@ -36,11 +46,11 @@
             ["previews", 2],
         ],
     );
-    t.deepEqual(rows[1]?.times.get("asked"), [20, 20]);
-    t.deepEqual(rows[1]?.times.get("placed"), [80, 180]);
-    t.deepEqual(rows[1]?.times.get("all placed"), [180, 280]);
-    t.deepEqual(rows[1]?.times.get("running"), [85, 185]);
-    t.deepEqual(rows[0]?.times.get("complete"), [2_900]);
+    t.deepEqual(rows[1]?.latenciesMs.get("asked"), [20, 20]);
+    t.deepEqual(rows[1]?.latenciesMs.get("placed"), [80, 180]);
+    t.deepEqual(rows[1]?.latenciesMs.get("all placed"), [180, 280]);
+    t.deepEqual(rows[1]?.latenciesMs.get("running"), [85, 185]);
+    t.deepEqual(rows[0]?.latenciesMs.get("complete"), [2_900]);
     t.regex(formatStages(rows), /complete\s+1\s+2900\s+2900\s+2900 {2}#{40}/);
 });
 
@@ -48,7 +58,7 @@
     const events = [...buildJob("a", "q", 1_000, 80), ...buildJob("b", "q", 5_500, 80)];
     const rows = listStageRows(events, { spanMs: 2_000 });
     t.deepEqual(
-        rows.map(({ since, jobs }) => [since, jobs]),
+        rows.map(({ spanStartMs, jobs }) => [spanStartMs, jobs]),
         [
             [1_000, 1],
             [5_000, 1],
--- a/telemetry/timeline.ts
+++ b/telemetry/timeline.ts
@@ -24,7 +24,7 @@
 export const STEP_PROGRESS = "step progress";
 
 /** A unit that was placed. */
-export interface PlacedRow {
+export interface PlacedUnit {
     readonly unit: number;
     readonly attempt: number;
     /** Time since the step's turn came, in ms. */
@@ -33,7 +33,7 @@
 }
 
 /** A task that was done. */
-export interface EndedRow {
+export interface EndedTask {
     readonly task: string;
     readonly attempt: number;
     readonly worker: string;
@@ -42,15 +42,15 @@
 }
 
 /** How long before its line something happened. */
-interface AgedRow {
+interface RelativeTime {
     readonly agoMs: number;
 }
 
 /** A line of {@link STEP_PROGRESS}. */
-interface StepProgress extends TimelineEvent {
+interface StepProgressEvent extends TimelineEvent {
     readonly step: string;
-    readonly placed?: readonly (PlacedRow & AgedRow)[];
-    readonly ended?: readonly (EndedRow & AgedRow)[];
+    readonly placed?: readonly (PlacedUnit & RelativeTime)[];
+    readonly ended?: readonly (EndedTask & RelativeTime)[];
 }
 
 /** Options of {@link mergeTimeline}. */
@@ -78,7 +78,7 @@
                 event !== undefined &&
                 (options.request === undefined || event.request === options.request)
             ) {
-                events.push(...listGathered(event));
+                events.push(...decodeStepProgress(event));
             }
         }
     }
@@ -91,13 +91,13 @@
  * @param events The merged events.
  * @returns Each request's events, in their order.
  */
-export function listByRequest(events: readonly TimelineEvent[]): Map<string, TimelineEvent[]> {
+export function collectByRequest(events: readonly TimelineEvent[]): Map<string, TimelineEvent[]> {
     const byRequest = new Map<string, TimelineEvent[]>();
     for (const event of events) {
         if (event.request !== undefined) {
-            const own = byRequest.get(event.request) ?? [];
-            own.push(event);
-            byRequest.set(event.request, own);
+            const requestEvents = byRequest.get(event.request) ?? [];
+            requestEvents.push(event);
+            byRequest.set(event.request, requestEvents);
         }
     }
     return byRequest;
@@ -119,11 +119,11 @@
 }
 
 /** Gives what a gathered line tells as events of their own, each at its own time. */
-function listGathered(event: TimelineEvent): TimelineEvent[] {
+function decodeStepProgress(event: TimelineEvent): TimelineEvent[] {
     if (event.message !== STEP_PROGRESS) {
         return [event];
     }
-    const { placed = [], ended = [], ...shared } = event as StepProgress;
+    const { placed = [], ended = [], ...shared } = event as StepProgressEvent;
     const { step, ...common } = shared;
     return [
         ...placed.map(({ agoMs, ...row }) => ({
