--- a/telemetry/audit.ts
+++ b/telemetry/audit.ts
@@ -1,11 +1,11 @@
 /**
- * Checks the brief's promises on a merged time line: what the workers' logs say really ran,
- * against what the instances have and what callers were told.
+ * Audits a merged log timeline: compares the task runs in the workers' logs with the instances'
+ * capacity and with the outcomes reported to callers.
  *
  * @example
  * ```ts
  * import { auditTimeline } from "./audit.ts";
- * const violations = auditTimeline(events, { capacities, fates });
+ * const violations = auditTimeline(events, { capacities, outcomes });
  * ```
  *
  * @module
@@ -13,23 +13,23 @@
 
 import type { TimelineEvent } from "./timeline.ts";
 
-/** What a caller was told of one request in the end. */
+/** The final outcome of a request as reported to its caller. */
 export interface ReportedOutcome {
     readonly requestId: string;
     readonly state: string;
     readonly final: boolean;
     readonly mayHaveRun: boolean;
-    /** The rules say it runs at most once. */
+    /** Whether each task may run at most once. */
     readonly atMostOnce: boolean;
     readonly tasks: number;
 }
 
-/** What to check against. */
+/** Options of {@link auditTimeline}. */
 export interface AuditOptions {
-    /** Cores of each instance. */
+    /** Cores by instance. */
     readonly capacities: ReadonlyMap<string, number>;
     readonly outcomes: readonly ReportedOutcome[];
-    /** When worker processes were killed, by process name: their tasks ended then. */
+    /** When worker processes were killed, in ms since 1970, by process; their tasks ended then. */
     readonly killedAtMs?: ReadonlyMap<string, number>;
 }
 
@@ -44,11 +44,12 @@
 }
 
 /**
- * Lists every broken promise on a time line.
+ * Lists the violated guarantees: overcommitted instances, concurrent runs of a task, and outcomes
+ * that contradict the logs.
  *
- * @param events The merged events of every process.
- * @param options Capacities and what callers were told.
- * @returns One line per violation; empty when all hold.
+ * @param events The merged events of all processes.
+ * @param options The capacities and the reported outcomes.
+ * @returns One line per violation.
  */
 export function auditTimeline(events: readonly TimelineEvent[], options: AuditOptions): string[] {
     const runs = listRuns(events, options.killedAtMs ?? new Map());
@@ -88,7 +89,7 @@
     return [...byLease.values()];
 }
 
-/** A request handed over to another zone's group runs there under another id. */
+/** Returns the original ids of requests that were handed over to another zone, by their new id. */
 function listOriginalIds(events: readonly TimelineEvent[]): Map<string, string> {
     const originalIds = new Map<string, string>();
     for (const event of events) {
@@ -121,7 +122,7 @@
         { at: run.startedAtMs, instance: run.instance, cores: run.cores },
         { at: run.endedAtMs, instance: run.instance, cores: -run.cores },
     ]);
-    // Ends before starts of the same ms: a worker logs both in order, a ms is all we see.
+    // Within one millisecond, cores are freed before they are taken.
     changes.sort((a, b) => a.at - b.at || a.cores - b.cores);
     const usedCores = new Map<string, number>();
     const violations: string[] = [];
--- a/telemetry/causes.ts
+++ b/telemetry/causes.ts
@@ -1,6 +1,6 @@
 /**
- * Tabulates what delayed the requests of an outage, or of a whole day, from the merged logs: how many were accepted in
- * each span of time, how many ended late or not at all, and why.
+ * Tabulates from the merged logs how many requests were accepted in each time span, how many of
+ * them were delayed or failed, and why.
  *
  * @example
  * ```ts
@@ -13,31 +13,31 @@
 
 import { collectByRequest, type TimelineEvent } from "./timeline.ts";
 
-/** Why a request took longer than its tasks did, or failed; the first that fits counts. */
+/** Why a request was delayed or failed; the first cause that applies is counted. */
 export type DelayCause =
-    /** A task failed as often as its queue allows. */
+    /** A task used up the attempts that its queue allows. */
     | "failed"
-    /** Its worker went away, or its lease ran out. */
+    /** A worker was lost, or its lease expired. */
     | "worker lost"
-    /** A start got no answer, or was refused. */
+    /** A start order was not answered, or was refused. */
     | "order lost"
-    /** A task failed and ran again. */
+    /** A task failed and was retried. */
     | "repeated"
-    /** A step waited for a worker, or for advice. */
+    /** A step waited for a worker or for placement advice. */
     | "waited"
-    /** One task took twice as long as the others of its step: slow, or its end was seen late. */
+    /** A task took more than twice the median of its step, or its end was noticed late. */
     | "straggler"
-    /** The leader changed meanwhile. */
+    /** The leader changed while the request ran. */
     | "leader"
-    /** None of these. */
+    /** No other cause applies. */
     | "other";
 
-/** Requests accepted in one span of time. */
+/** The requests accepted in one time span. */
 export interface CauseRow {
-    /** Start of the span, in ms since 1970. */
+    /** In ms since 1970. */
     readonly spanStartMs: number;
     readonly accepted: number;
-    /** Delayed or failed, by cause. */
+    /** Number of delayed or failed requests, by cause. */
     readonly causes: ReadonlyMap<DelayCause, number>;
 }
 
@@ -48,22 +48,23 @@
 }
 
 const DEFAULT_SPAN_MS = 2_000;
-/** A request is delayed by this share of its tasks' time, and by this many ms at least. */
+/** The least delay that counts, as a share of the time that the tasks took. */
 const MIN_DELAY_RATIO = 0.5;
+/** The least delay that counts, for short requests. */
 const MIN_DELAY_MS = 500;
-/** A step that waited longer than this waited, in ms: advice alone takes up to 0.8 s. */
+/** The wait above which a step counts as delayed; advice alone takes up to 800 ms. */
 const LONG_WAIT_MS = 1_000;
-/** A task that took so many times the median of its step is a straggler. */
+/** The multiple of its step's median duration above which a task is a straggler. */
 const STRAGGLER_FACTOR = 2;
-/** The longest bar of the plot, in characters. */
+/** In characters. */
 const MAX_BAR_LENGTH = 40;
 
 /**
- * Counts the requests of each span, and why some were delayed.
+ * Counts the accepted requests of each time span, and the causes of delays and failures.
  *
- * @param events The merged events of every process.
- * @param options The spans.
- * @returns One row a span with accepted requests, oldest first.
+ * @param events The merged events of all processes.
+ * @param options The length of a span.
+ * @returns One row for each span with accepted requests, oldest first.
  */
 export function listCauseRows(
     events: readonly TimelineEvent[],
@@ -94,10 +95,10 @@
 }
 
 /**
- * Formats the table with a bar for the delayed ones.
+ * Formats rows as a table with a bar chart of the delayed and failed requests.
  *
- * @param rows The table.
- * @returns Lines of text.
+ * @param rows The rows of {@link listCauseRows}.
+ * @returns The table, one line per row.
  */
 export function formatCauses(rows: readonly CauseRow[]): string {
     const firstSpanStartMs = rows[0]?.spanStartMs ?? 0;
@@ -116,7 +117,7 @@
     return ["   from  accepted delayed", ...lines].join("\n");
 }
 
-/** @returns The cause, or `undefined` for a request that was cancelled, is under way, or was in time. */
+/** Returns `undefined` for a request that was cancelled, is still running, or was not delayed. */
 function findCause(
     requestEvents: readonly TimelineEvent[],
     acceptedAtMs: number,
@@ -163,7 +164,7 @@
         : "other";
 }
 
-/** How long the tasks of each step took that were done, in ms. */
+/** Returns the durations of the completed tasks of each step, in ms. */
 function listStepDurations(requestEvents: readonly TimelineEvent[]): number[][] {
     const durationsByStep = new Map<string, number[]>();
     for (const { message, how, task, tookMs } of requestEvents) {
--- a/telemetry/causes_test.ts
+++ b/telemetry/causes_test.ts
@@ -6,7 +6,7 @@
     return { t, process: "core-1", zone: "z", message, ...fields };
 }
 
-/** A request of one step with tasks that took some time each. */
+/** Builds the events of a request with one step of concurrent tasks. */
 function buildRequest(
     request: string,
     acceptedAtMs: number,
--- a/telemetry/control_metrics.ts
+++ b/telemetry/control_metrics.ts
@@ -1,6 +1,6 @@
 /**
- * Metrics of a control instance and of a front (prom-client): decisions by kind, and how long the
- * parts of a job's way take.
+ * Prometheus metrics of control instances and front processes: counts of decisions, latencies of
+ * the stages of a job, and the state of the process.
  *
  * @example
  * ```ts
@@ -14,39 +14,39 @@
 
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** The metrics. */
+/** The metrics of one control instance or front process. */
 export interface ControlMetrics {
     readonly registry: Registry;
     readonly decisions: Counter<"event">;
-    /** Ends of tasks and refusals of orders, by their kind. */
+    /** Task ends and refused orders. */
     readonly outcomes: Counter<"event" | "kind">;
     readonly stepWaitSeconds: Histogram;
     readonly taskSeconds: Histogram;
     readonly commitSeconds: Histogram;
     readonly adviceSeconds: Histogram;
     readonly callSeconds: Histogram<"call" | "outcome">;
-    /** From an operator's configuration at the leader to its acknowledgement. */
+    /** From a configuration's arrival at the leader to its acknowledgement. */
     readonly configurationSeconds: Histogram;
     readonly leading: Gauge;
     readonly leadershipLosses: Counter<"cause">;
-    /** Calls that reached a leader whose lease had lapsed. */
+    /** Calls that reached this instance while it led without a valid lease. */
     readonly expiredLeaseCalls: Counter;
-    /** Turns of the event loop that held everything else up. */
+    /** Durations for which the event loop was blocked. */
     readonly eventLoopBlockedSeconds: Histogram;
     readonly eventLoopDelaySeconds: Gauge;
     readonly cpuSeconds: Gauge;
     readonly residentBytes: Gauge;
 }
 
-/** From a commit (10 ms) to the longest wait that anybody sits through (60 s). */
+/** From commits of about 10 ms to waits of one minute. */
 const LATENCY_BUCKETS_SECONDS = [
     0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15, 60,
 ];
-/** How often the process looks at itself, in ms. */
 const SAMPLE_INTERVAL_MS = 1_000;
 
 /**
- * Creates the metrics in a registry of their own and samples the process once a second.
+ * Creates the metrics in their own registry and starts sampling CPU time, memory and event loop
+ * delay once a second.
  *
  * @returns The metrics.
  */
--- a/telemetry/decision_log.ts
+++ b/telemetry/decision_log.ts
@@ -1,14 +1,12 @@
 /**
- * The lines of a leader's decisions. A step of twenty tasks would take forty lines, one for each start and
- * each end, and a leader of hundreds of workers some thousand a second: more than the log takes, so that
- * most requests could not be explained. Starts and usual ends of one step are gathered into one line
- * instead, and what does not fit is left out by whole requests; failures go out at once, all of them.
+ * Logs a leader's decisions within a rate limit. Task starts and completions of a step are batched
+ * into one line, requests above the limit are sampled, and failures are always logged at once.
  *
  * @example
  * ```ts
  * import { DecisionLog } from "./decision_log.ts";
  * const decisions = new DecisionLog({ log, computeLinesPerSecond: () => 900 });
- * decisions.record("decision", "attempt placed", { request, step, unit, attempt, workers, waitedMs });
+ * decisions.record("decision", "job accepted", { request, queue: "previews", steps: 1 });
  * ```
  *
  * @module
@@ -18,18 +16,18 @@
 import { RequestSampler } from "./request_sampler.ts";
 import { STEP_PROGRESS, type EndedTask, type PlacedUnit } from "./timeline.ts";
 
-/** How much a line matters, as the dispatcher says. */
+/** The importance of a decision, which sets its log level and whether it may be sampled out. */
 export type DecisionKind = "decision" | "milestone" | "failure";
 
 /** Options of {@link DecisionLog}. */
 export interface DecisionLogOptions {
     readonly log: Pick<Logger, "log">;
-    /** Lines a second that the log takes. */
+    /** Returns the number of lines that may be logged each second. */
     readonly computeLinesPerSecond: () => number;
     readonly getNow?: () => number;
 }
 
-/** What a step did since its last line. */
+/** The task starts and completions of a step that are not logged yet. */
 interface StepBatch {
     readonly placed: (PlacedUnit & { readonly at: number })[];
     readonly ended: (EndedTask & { readonly at: number })[];
@@ -37,14 +35,14 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** A leader that is killed takes so much of a story with it, in ms. */
+/** Bounds how much of the log is lost when the leader is killed. */
 const FLUSH_DELAY_MS = 400;
 const LOG_LEVELS: Readonly<Record<DecisionKind, string>> = {
     decision: "info",
     milestone: "notice",
     failure: "warn",
 };
-/** After these nothing more is told of a request. */
+/** The last events of a request. */
 const TERMINAL_EVENTS: ReadonlySet<string> = new Set([
     "job complete",
     "job failed",
@@ -52,17 +50,17 @@
     "job refused",
 ]);
 
-/** Writes decisions. */
+/** Logs decisions, batched by step and sampled by request. */
 export class DecisionLog {
     readonly #options: DecisionLogOptions;
     readonly #getNow: () => number;
     readonly #sampler: RequestSampler;
-    /** By request, then by step. */
+    /** Batches by request, then by step. */
     readonly #batches = new Map<string, Map<string, StepBatch>>();
     #flushTimer: NodeJS.Timeout | undefined;
 
     /**
-     * @param options The log and its limit.
+     * @param options The logger and its rate limit.
      */
     constructor(options: DecisionLogOptions) {
         this.#options = options;
@@ -75,11 +73,11 @@
     }
 
     /**
-     * Takes a decision.
+     * Logs a decision, adds it to its step's batch, or drops it if its request is not sampled.
      *
-     * @param kind How much it matters.
-     * @param event What happened.
-     * @param fields The inputs that decided it and the outcome.
+     * @param kind The importance of the decision.
+     * @param event The log message.
+     * @param fields The inputs and the outcome of the decision.
      */
     record(kind: DecisionKind, event: string, fields: Fields): void {
         const request = fields["request"];
@@ -98,7 +96,7 @@
         }
     }
 
-    /** Writes what is gathered. */
+    /** Writes all batches. */
     flush(): void {
         clearTimeout(this.#flushTimer);
         this.#flushTimer = undefined;
@@ -130,7 +128,7 @@
         }
     }
 
-    /** @returns Whether the decision goes into a step's line. */
+    /** Returns whether the decision was added to a batch. */
     #addToBatch(request: string, event: string, fields: Fields): boolean {
         const at = this.#getNow();
         if (event === "attempt placed") {
@@ -166,7 +164,7 @@
     }
 }
 
-/** A row says how long before its line it happened. */
+/** Replaces a row's time by its age in ms when the line is written. */
 function toRowWithAge<T extends { readonly at: number }>(
     { at, ...row }: T,
     now: number,
--- a/telemetry/decision_log_test.ts
+++ b/telemetry/decision_log_test.ts
@@ -7,7 +7,7 @@
     readonly decisions: DecisionLog;
     readonly clock: { now: number };
     readonly lines: { level: string; message: string; fields: Record<string, unknown> }[];
-    /** The lines as a process writes them. */
+    /** Returns the lines as JSON, as a process writes them. */
     readonly formatOutput: () => string;
 }
 
@@ -41,7 +41,7 @@
     return { decisions, clock, lines, formatOutput };
 }
 
-/** The decisions of a job of one step, from its acceptance to its end. */
+/** Records the decisions of a job with one step, from acceptance to completion. */
 function runJob({ decisions, clock }: LogFixture, request: string, tasks: number): void {
     const step = `${request}.0.0`;
     decisions.record("decision", "job accepted", { request, queue: "q", steps: 1 });
@@ -85,8 +85,6 @@
 });
 
 test("a run that failed is told at once, and so is what a stopping leader has gathered", (t) => {
-    // On call one looks for failures first. The leader is stopped half way: what it decided by then is in
-    // its log, because a later leader can't tell it.
     const { decisions, lines } = buildLog();
     decisions.record("decision", "attempt placed", {
         request: "a",
@@ -106,8 +104,7 @@
 });
 
 test("beyond the log's limit whole requests are left out; the others' stories have no gap", (t) => {
-    // A busy leader decides five times what its log takes. Line by line given up, nearly every request would
-    // miss some of its lines; here each request has all of its lines or none.
+    // Dropping single lines would leave gaps in nearly every request.
     const log = buildLog(12);
     const jobs = 5_000;
     for (let i = 0; i < jobs; i++) {
--- a/telemetry/entry_metrics.ts
+++ b/telemetry/entry_metrics.ts
@@ -1,6 +1,6 @@
 /**
- * The entry instance's Prometheus metrics (prom-client): waiting time per class, placements,
- * refusals, packing and the queue.
+ * Prometheus metrics of an entry instance: waiting times by precedence class, placements, finished
+ * requests, core utilization and queue length.
  *
  * @example
  * ```ts
@@ -27,7 +27,7 @@
 }
 
 /**
- * Creates the metrics in a registry of their own, with Node's default process metrics.
+ * Creates the metrics in their own registry, together with Node's default process metrics.
  *
  * @returns The metrics.
  */
--- a/telemetry/event_loop_monitor.ts
+++ b/telemetry/event_loop_monitor.ts
@@ -1,13 +1,14 @@
 /**
- * Notices turns of the event loop that hold everything else up. A process that decides for 0.3 s in one turn
- * answers nobody meanwhile and sends no heartbeat: from outside it looks dead, from inside nothing shows but
- * this.
+ * Detects when the event loop is blocked. A blocked process answers no calls and sends no
+ * heartbeats, so that others may take it for dead.
  *
  * @example
  * ```ts
- * import { LoopWatch } from "./event_loop_monitor.ts";
- * const watch = new LoopWatch({ onHeld: (heldMs) => log.warn("event loop held", { heldMs }) });
- * watch.start();
+ * import { EventLoopMonitor } from "./event_loop_monitor.ts";
+ * const monitor = new EventLoopMonitor({
+ *     onBlocked: (heldMs) => log.warn("event loop held", { heldMs }),
+ * });
+ * monitor.start();
  * ```
  *
  * @module
@@ -15,17 +16,17 @@
 
 /** Options of {@link EventLoopMonitor}. */
 export interface EventLoopMonitorOptions {
-    /** Takes the length of a long turn, in ms. */
+    /** Called with how long the event loop was blocked, in ms. */
     readonly onBlocked: (heldMs: number) => void;
     readonly getNow?: () => number;
 }
 
-/** How often the loop is asked to turn, in ms: half of what is told of. */
+/** Interval of the timer whose delay is measured; at most half of `MIN_BLOCKED_MS`. */
 const PROBE_INTERVAL_MS = 50;
-/** Turns from this length on are told of, in ms: two heartbeats of a leader. */
+/** The least delay that is reported: two heartbeat intervals of a leader. */
 const MIN_BLOCKED_MS = 100;
 
-/** Watches this process's event loop. */
+/** Monitors the event loop of this process. */
 export class EventLoopMonitor {
     readonly #options: EventLoopMonitorOptions;
     readonly #getNow: () => number;
@@ -33,26 +34,26 @@
     #timer: NodeJS.Timeout | undefined;
 
     /**
-     * @param options Where to tell it.
+     * @param options The callback and the clock.
      */
     constructor(options: EventLoopMonitorOptions) {
         this.#options = options;
         this.#getNow = options.getNow ?? (() => performance.now());
     }
 
-    /** Starts watching; it does not keep the process alive. */
+    /** Starts monitoring, without keeping the process alive. */
     start(): void {
         this.#dueAtMs = this.#getNow() + PROBE_INTERVAL_MS;
         this.#timer = setInterval(() => this.checkDelay(), PROBE_INTERVAL_MS);
         this.#timer.unref();
     }
 
-    /** Stops watching. */
+    /** Stops monitoring. */
     stop(): void {
         clearInterval(this.#timer);
     }
 
-    /** Compares the time with when this turn was due. */
+    /** Reports the event loop as blocked if the timer fired too late. */
     checkDelay(): void {
         const nowMs = this.#getNow();
         const blockedMs = nowMs - this.#dueAtMs;
--- a/telemetry/explain.ts
+++ b/telemetry/explain.ts
@@ -1,6 +1,6 @@
 /**
- * Explains one request from the merged logs: its own time line, what happened meanwhile to the
- * workers and leaders it depended on, and where its time went.
+ * Explains one request from the merged logs: its own events, those of the workers and leaders that
+ * it depended on, and the likely causes of a delay or failure.
  *
  * @example
  * ```ts
@@ -13,17 +13,17 @@
 
 import type { TimelineEvent } from "./timeline.ts";
 
-/** An explanation. */
+/** The events and causes found for a request. */
 export interface Explanation {
-    /** The request's events and those of its workers and of the leaders meanwhile. */
+    /** The request's own events and the related ones of workers and leaders. */
     readonly events: readonly TimelineEvent[];
-    /** What delayed or ended it, the weightiest first, one sentence each. */
+    /** What delayed the request or made it fail, one phrase each. */
     readonly causes: readonly string[];
 }
 
-/** Events that touch every request under way. */
+/** Events that affect all running requests. */
 const LEADER_EVENTS: ReadonlySet<string> = new Set(["lead gained", "lead lost", "started"]);
-/** Events of a worker that touch what runs there. */
+/** Events of a worker that affect the tasks running on it. */
 const WORKER_EVENTS: ReadonlySet<string> = new Set([
     "worker silent",
     "worker answers again",
@@ -31,17 +31,17 @@
     "lease over",
     "worker changed",
 ]);
-/** A step that waited longer than this for a worker waited, in ms: advice alone takes up to 0.8 s. */
+/** The wait above which a step counts as delayed; advice alone takes up to 800 ms. */
 const LONG_WAIT_MS = 1_000;
-/** Events shortly before the request's first line may explain it, in ms. */
+/** How long before a request's first event related events are included. */
 const LOOKBACK_MS = 3_000;
 
 /**
  * Explains a request.
  *
- * @param events The merged events of every process.
+ * @param events The merged events of all processes.
  * @param request The request's id.
- * @returns Its events with their surroundings, and the causes found.
+ * @returns Its events and the related ones, and the causes found.
  */
 export function explainRequest(events: readonly TimelineEvent[], request: string): Explanation {
     const requestEvents = events.filter((event) => isOfRequest(event, request));
@@ -98,7 +98,7 @@
     return [...new Set(causes)];
 }
 
-/** Ends other than `done`, counted by kind. */
+/** Counts the task ends other than `done`, by kind. */
 function summarizeAbnormalEnds(requestEvents: readonly TimelineEvent[]): string[] {
     const counts = new Map<string, number>();
     for (const event of requestEvents) {
--- a/telemetry/explain_test.ts
+++ b/telemetry/explain_test.ts
@@ -9,8 +9,6 @@
 }
 
 test("a late request is traced through a lost leader and a worker that went away", (t) => {
-    // The caller saw its preview seconds late. Its worker died, the leader was replaced while the
-    // lease ran out, and the next attempt ran elsewhere.
     const events = [
         buildEvent(1_000, "job accepted", { request: REQUEST }),
         buildEvent(1_020, "attempt placed", {
--- a/telemetry/log_sink.ts
+++ b/telemetry/log_sink.ts
@@ -1,8 +1,6 @@
 /**
- * A bounded, non-blocking way to standard output. Node writes to a pipe synchronously: a reader
- * that stalls would stop the event loop, and with it heartbeats and leases. Lines are queued
- * here, written in batches by a pool thread, and given up when the queue is full; what was given
- * up is counted and told in a line of its own.
+ * Writes log lines to a file descriptor through a bounded queue, so that a stalled reader never
+ * blocks the event loop. Lines that exceed the queue or the rate limit are dropped and counted.
  *
  * @example
  * ```ts
@@ -20,13 +18,13 @@
 export interface LogSinkOptions {
     /** The file descriptor; standard output by default. */
     readonly fd?: number;
-    /** The most bytes that wait, for lines that may be given up. */
+    /** Size of the queue in bytes; lines above it are dropped. */
     readonly maxQueuedBytes?: number;
-    /** Further bytes, for lines that tell of failures. */
+    /** Further bytes of the queue that only lines about failures may use. */
     readonly failureReserveBytes?: number;
-    /** Lines a second in the long run; failures do not count. */
+    /** Sustained rate limit; lines about failures are exempt. */
     readonly linesPerSecond?: number;
-    /** Writes bytes; replaced in tests. */
+    /** Replaces `fs.write` in tests. */
     readonly writeBytes?: (
         fd: number,
         bytes: Buffer,
@@ -35,19 +33,19 @@
     readonly getNow?: () => number;
 }
 
-/** Some seconds of a busy leader's lines, while the reader stalls. */
+/** Holds a few seconds of a busy leader's lines. */
 const DEFAULT_MAX_QUEUED_BYTES = 1_000_000;
 const DEFAULT_FAILURE_RESERVE_BYTES = 250_000;
-/** A last resort above what a leader's own sampling lets through; 0.4 MB/s at the most. */
+/** Above the rate that request sampling allows; bounds the output to about 0.4 MB/s. */
 const DEFAULT_LINES_PER_SECOND = 2_000;
-/** Lines that may come at once after a quiet time, in seconds of the long-run rate. */
+/** Capacity of the token bucket, in seconds of the sustained rate. */
 const BURST_SECONDS = 4;
-/** Lines are gathered for this long, in ms: one write for many lines. */
+/** How long lines are collected before they are written together. */
 const FLUSH_DELAY_MS = 50;
-/** Linux's PIPE_BUF: a write of so many bytes reaches a pipe in one piece. */
+/** PIPE_BUF on Linux: writes to a pipe of up to this size are atomic. */
 const MAX_BLOCK_BYTES = 4_096;
 
-/** Queued lines on their way out. */
+/** Queues log lines and writes them asynchronously. */
 export class LogSink {
     readonly #fd: number;
     readonly #maxQueuedBytes: number;
@@ -64,7 +62,7 @@
     #refilledAtMs: number;
 
     /**
-     * @param options Where to write, how much may wait; see {@link LogSinkOptions}.
+     * @param options The file descriptor and the limits.
      */
     constructor(options: LogSinkOptions = {}) {
         this.#fd = options.fd ?? 1;
@@ -77,22 +75,21 @@
         this.#refilledAtMs = this.#getNow();
     }
 
-    /** Bytes that wait. */
+    /** Bytes in the queue. */
     get queuedBytes(): number {
         return this.#queuedBytes;
     }
 
-    /** Lines given up and not told of yet. */
+    /** Dropped lines that are not reported yet. */
     get droppedLines(): number {
         return this.#droppedLines;
     }
 
     /**
-     * Queues a line.
+     * Queues a line, or drops it if a limit is exceeded.
      *
      * @param line The line, with its newline.
-     * @param isFailure It tells of something that went wrong: given up only when the reserve is
-     * full too.
+     * @param isFailure Whether the line may use the reserve and is exempt from the rate limit.
      */
     write(line: string, isFailure: boolean): void {
         const limit = this.#maxQueuedBytes + (isFailure ? this.#failureReserveBytes : 0);
@@ -107,9 +104,9 @@
     }
 
     /**
-     * Writes what waits, for the end of a process.
+     * Writes the queued lines before the process exits.
      *
-     * @returns Once it is written, or after `limitMs`.
+     * @param timeoutMs How long to wait for the writes to finish.
      */
     async close(timeoutMs = 200): Promise<void> {
         const deadlineMs = this.#getNow() + timeoutMs;
@@ -171,7 +168,7 @@
         this.#send(first, () => this.#sendBlocks(rest));
     }
 
-    /** A pipe may take a part only; the rest follows. An error ends this block: there is no reader. */
+    /** Writes a block, continuing after partial writes; drops the rest of it after an error. */
     #send(bytes: Buffer, onSent: () => void): void {
         this.#writeBytes(this.#fd, bytes, (error, written) => {
             if (error === null && written < bytes.length) {
@@ -184,8 +181,8 @@
 }
 
 /**
- * Joins lines into blocks that a pipe takes whole: a longer write may be cut apart among those of other
- * processes, and a collector that reads a block at a time loses the rest of it.
+ * Joins lines into blocks that a pipe takes in one atomic write. Longer writes may be interleaved
+ * with those of other processes, and log collectors then lose lines.
  */
 function formatBlocks(lines: readonly string[]): Buffer[] {
     const blocks: Buffer[] = [];
--- a/telemetry/log_sink_test.ts
+++ b/telemetry/log_sink_test.ts
@@ -9,7 +9,7 @@
     readonly clock: { now: number };
 }
 
-/** A sink whose reader takes nothing until it is released. */
+/** Builds a sink whose writes only finish when `release` is called. */
 function buildStalledSink(): StalledSink {
     const pending: (() => void)[] = [];
     const texts: string[] = [];
@@ -30,8 +30,7 @@
 const LINE = `${"x".repeat(99)}\n`;
 
 test("a stalled reader neither blocks nor grows the queue without bound", async (t) => {
-    // The process goes on deciding. Its lines wait up to the limit; lines of failures have a
-    // reserve; what is given up is counted and told once the reader is back.
+    // Lines about failures use a reserve; dropped lines are reported once the reader is back.
     const { sink, release, texts } = buildStalledSink();
     sink.write(LINE, false);
     await new Promise((resolve) => setTimeout(resolve, 80));
@@ -71,8 +70,7 @@
 });
 
 test("what changes the group's state is written when a busy leader's other lines are given up", (t) => {
-    // On call one line is missing: the configuration's. The leader wrote hundreds of lines a second about tasks, and
-    // the line shared their bound. At the level of its own it is kept like the lines of failures.
+    // At `info` the line would share the rate limit of the lines about tasks.
     const sink = new LogSink({
         linesPerSecond: 0,
         writeBytes: (_fd, bytes, done) => done(null, bytes.length),
@@ -85,8 +83,7 @@
 });
 
 test("a burst of lines goes out in blocks that a pipe takes whole", async (t) => {
-    // A leader writes hundreds of lines at once. In one long write, what a collector reads of it ends in the
-    // middle of a line, and the lines behind are lost without being counted.
+    // After one long write, a collector's read ends within a line and the rest is lost, uncounted.
     const blocks: Buffer[] = [];
     const sink = new LogSink({
         writeBytes: (_fd, bytes, done) => {
--- a/telemetry/logger.ts
+++ b/telemetry/logger.ts
@@ -1,7 +1,6 @@
 /**
- * Structured JSON logs (winston), one object a line, each with the time in ms, the process,
- * its availability zone and, where there is one, the request: the lines of every process merge
- * into one time line (`poplarhead logs merge`).
+ * Structured JSON logging with winston. Each line carries the time, process and availability zone,
+ * so that `poplarhead logs merge` can merge the logs of all processes into one timeline.
  *
  * @example
  * ```ts
@@ -18,9 +17,8 @@
 import type { LogSink } from "./log_sink.ts";
 
 /**
- * The levels, most urgent first. `notice` is for what changes the group's state (leaders, voters, the
- * configuration): some lines a minute that explain all others. Left at `info` they were given up with a busy
- * leader's hundreds of lines a second, just when they were needed.
+ * The levels, most urgent first. `notice` is for changes of the group's state, such as leaders,
+ * voters and the configuration. Unlike `info`, it is exempt from the rate limit of {@link LogSink}.
  */
 const LEVELS = { error: 0, warn: 1, notice: 2, info: 3, debug: 4 };
 
@@ -28,20 +26,21 @@
 export interface LoggerOptions {
     readonly process: string;
     readonly zone: string;
-    /** A file to append to; standard error when absent. */
+    /** A file to append to; takes precedence over `sink`. Defaults to standard error. */
     readonly file?: string;
-    /** Takes the lines instead of standard error. */
+    /** Receives the lines instead of standard error. */
     readonly sink?: LogSink;
     /** Defaults to `info`. */
     readonly level?: string;
-    /** Writes nothing (benchmarks). */
+    /** Disables all output, for benchmarks. */
     readonly silent?: boolean;
 }
 
 /**
- * Creates a JSON logger whose every line carries time (ms), process and zone.
+ * Creates a JSON logger that adds the time in ms since 1970, the process and the availability zone
+ * to each line.
  *
- * @param options Process, zone, where to write.
+ * @param options The process, its zone and the destination.
  * @returns The logger.
  */
 export function createLogger(options: LoggerOptions): Logger {
@@ -69,7 +68,7 @@
     });
 }
 
-/** Lines at a level above `info` are kept when others are given up. */
+/** Creates a stream into a sink that treats all lines except those at `info` as failures. */
 function createSinkStream(sink: LogSink): Writable {
     return new Writable({
         decodeStrings: false,
--- a/telemetry/mod.ts
+++ b/telemetry/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Logs, metrics and the merged time line.
+ * Logging, metrics, and analysis of the merged logs of all processes.
  *
  * @example
  * ```ts
--- a/telemetry/rate_limited_log.ts
+++ b/telemetry/rate_limited_log.ts
@@ -1,26 +1,26 @@
 /**
- * A log line for what may happen hundreds of times a second: one a second at most, with the count.
+ * Limits the log lines of a frequent event to one a second, each with the number of occurrences.
  *
  * @example
  * ```ts
- * import { CountedLog } from "./rate_limited_log.ts";
- * const lapses = new CountedLog((fields) => log.warn("lease lapsed for calls", fields));
+ * import { RateLimitedLog } from "./rate_limited_log.ts";
+ * const lapses = new RateLimitedLog((fields) => log.warn("lease lapsed for calls", fields));
  * lapses.add();
  * ```
  *
  * @module
  */
 
-/** Time between two lines, in ms: short enough to place them beside other lines of an outage. */
+/** The shortest time between two lines. */
 const REPORT_INTERVAL_MS = 1_000;
 
-/** What a line tells: how many there were, and what is known of the last one. */
+/** The fields of a line: those of the last event, and the number of events since the last line. */
 export interface RateLimitedFields {
     readonly count: number;
     readonly [field: string]: unknown;
 }
 
-/** Counts events and reports them. */
+/** Counts events and reports them at a limited rate. */
 export class RateLimitedLog {
     readonly #report: (fields: RateLimitedFields) => void;
     readonly #getNow: () => number;
@@ -28,8 +28,8 @@
     #reportedAtMs = Number.NEGATIVE_INFINITY;
 
     /**
-     * @param report Writes the line.
-     * @param getNow A clock that never goes back, in ms.
+     * @param report Writes a line.
+     * @param getNow Returns the time of a monotonic clock, in ms.
      */
     constructor(
         report: (fields: RateLimitedFields) => void,
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Counts an event; the first one after a quiet time is reported at once.
+     * Counts an event, and reports it unless a line was written within the last second.
      *
-     * @param fields What is known of it.
+     * @param fields The fields that describe the event.
      */
     add(fields: Readonly<Record<string, unknown>> = {}): void {
         this.#count += 1;
--- a/telemetry/request_sampler.ts
+++ b/telemetry/request_sampler.ts
@@ -1,14 +1,13 @@
 /**
- * Which requests are told of in the log when there are more lines than the log takes. Lines given up one
- * by one leave a gap in nearly every request's story, so that none can be explained; whole requests are
- * left out instead, and the others stay complete. One that meets a failure is told of from then on.
+ * Samples whole requests when there are more log lines than the rate limit allows, so that the
+ * logs of sampled requests stay complete. A request that fails is logged from then on.
  *
  * @example
  * ```ts
  * import { RequestSampler } from "./request_sampler.ts";
  * const sampler = new RequestSampler({ computeLinesPerSecond: () => 600 });
  * sampler.open("5c0e7a21d94b36f8");
- * if (sampler.isTold("5c0e7a21d94b36f8")) {
+ * if (sampler.isSampled("5c0e7a21d94b36f8")) {
  *     sampler.recordLine();
  * }
  * ```
@@ -20,32 +19,32 @@
 
 /** Options of {@link RequestSampler}. */
 export interface RequestSamplerOptions {
-    /** Lines a second that the log takes; asked once a second, so it may follow the size of the floor. */
+    /** Returns the limit in lines per second; called once a second at most. */
     readonly computeLinesPerSecond: () => number;
-    /** Told when another share of the requests is logged from now on. */
+    /** Called with the new sample rate when it changes. */
     readonly onChange?: (share: number) => void;
     readonly getNow?: () => number;
 }
 
-/** Time over which lines are counted, in ms. */
+/** The shortest time over which the line rate is measured. */
 const WINDOW_MS = 1_000;
-/** The share is doubled again only when twice the lines of the last window would still fit with room to spare. */
+/** Share of the limit below which the sample rate is doubled; under 0.5 to avoid oscillation. */
 const RAISE_THRESHOLD = 0.4;
-/** One request of a thousand is told of at the least. */
+/** Bounds the sample rate to at least one request in 1024. */
 const MAX_HALVINGS = 10;
 
-/** Chooses requests. */
+/** Selects the requests that are logged. */
 export class RequestSampler {
     readonly #options: RequestSamplerOptions;
     readonly #getNow: () => number;
-    /** Requests under way whose lot is cast. */
+    /** Whether each open request is sampled. */
     readonly #isSampledByRequest = new Map<string, boolean>();
     #halvings = 0;
     #lines = 0;
     #windowStartMs: number;
 
     /**
-     * @param options The limit; see {@link RequestSamplerOptions}.
+     * @param options The rate limit and the callback.
      */
     constructor(options: RequestSamplerOptions) {
         this.#options = options;
@@ -53,13 +52,14 @@
         this.#windowStartMs = this.#getNow();
     }
 
-    /** The share of new requests that is told of, from 0 to 1. */
+    /** The share of new requests that is sampled, from 0 to 1. */
     get sampleRate(): number {
         return 1 / 2 ** this.#halvings;
     }
 
     /**
-     * Casts a request's lot, by its id, so that it falls alike in every process.
+     * Decides by a hash of its id whether a request is sampled, so that processes with the same
+     * sample rate agree.
      *
      * @param request The request's id.
      */
@@ -68,17 +68,17 @@
     }
 
     /**
-     * Tells whether a request's lines go out.
+     * Returns whether a request's lines are logged.
      *
      * @param request The request's id.
-     * @returns True for one that was drawn, or had a failure.
+     * @returns True if the request is sampled or has failed.
      */
     isSampled(request: string): boolean {
         return this.#isSampledByRequest.get(request) ?? this.#isInSample(request);
     }
 
     /**
-     * Has a request told of from now on: it met a failure that somebody may ask about.
+     * Samples a request from now on, because of a failure.
      *
      * @param request The request's id.
      */
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Forgets a request that has ended.
+     * Removes a request that has ended.
      *
      * @param request The request's id.
      */
@@ -95,7 +95,7 @@
         this.#isSampledByRequest.delete(request);
     }
 
-    /** Counts a line that goes out. */
+    /** Counts a logged line and adjusts the sample rate to the measured line rate. */
     recordLine(): void {
         this.#lines += 1;
         const nowMs = this.#getNow();
--- a/telemetry/stages.ts
+++ b/telemetry/stages.ts
@@ -1,7 +1,6 @@
 /**
- * Where the time of jobs goes, stage by stage, for each queue: from the merged logs, with percentiles
- * and a plot. `causes.ts` says why single requests were late; this says which stage a whole kind of work
- * waits in.
+ * Computes from the merged logs how long the jobs of each queue took to reach each stage, with
+ * percentiles and a bar chart.
  *
  * @example
  * ```ts
@@ -14,38 +13,38 @@
 
 import { collectByRequest, type TimelineEvent } from "./timeline.ts";
 
-/** The stages of a job's first step and its end, in order. */
+/** The stages of a job's first step and the job's completion, in order. */
 export const STAGES = [
-    /** Accepted until its first call for advice is made: the wait for a lane. */
+    /** The first request for placement advice is sent. */
     "asked",
-    /** Until the answer to that call. */
+    /** The advice is received. */
     "advised",
-    /** Until its first task is placed. */
+    /** The first task is placed. */
     "placed",
-    /** Until the last task of the first step is placed, for the first time. */
+    /** The last task of the first step is placed for the first time. */
     "all placed",
-    /** Until a worker took the first order. */
+    /** A worker accepts the first task. */
     "running",
-    /** Until the job is complete. */
+    /** The job is complete. */
     "complete",
 ] as const;
 
-/** A stage's name. */
+/** The name of a stage. */
 export type Stage = (typeof STAGES)[number];
 
-/** The times of one queue's jobs that were accepted in one span. */
+/** The latencies of one queue's jobs that were accepted in one time span. */
 export interface StageRow {
     readonly queue: string;
-    /** Start of the span, in ms since 1970; the first event when there are no spans. */
+    /** In ms since 1970; the time of the first event if there is a single span. */
     readonly spanStartMs: number;
     readonly jobs: number;
-    /** Ms since the job was accepted, ascending. */
+    /** Times from acceptance to each stage, ascending. */
     readonly latenciesMs: ReadonlyMap<Stage, readonly number[]>;
 }
 
 /** Options of {@link listStageRows}. */
 export interface StageOptions {
-    /** Length of a span, in ms; one span over all by default. */
+    /** Length of a span; by default one span covers all events. */
     readonly spanMs?: number;
 }
 
@@ -55,15 +54,15 @@
 }
 
 const PERCENTILES = [50, 95, 99];
-/** The longest bar of the plot, in characters. */
+/** In characters. */
 const MAX_BAR_LENGTH = 40;
 
 /**
- * Gathers the times at which jobs reached each stage.
+ * Collects how long jobs took to reach each stage.
  *
- * @param events The merged events of every process.
- * @param options The spans.
- * @returns One row a queue and span, by queue, oldest first.
+ * @param events The merged events of all processes.
+ * @param options The length of a span.
+ * @returns One row for each queue and span, sorted by queue, then by time.
  */
 export function listStageRows(
     events: readonly TimelineEvent[],
@@ -102,10 +101,11 @@
 }
 
 /**
- * Formats the rows: for each stage how many jobs reached it, the percentiles, and a bar for the median.
+ * Formats rows as a table: for each stage the number of jobs that reached it, the percentiles of
+ * their latencies, and a bar for the median.
  *
- * @param rows The rows.
- * @returns Lines of text.
+ * @param rows The rows of {@link listStageRows}.
+ * @returns The table, one line per stage.
  */
 export function formatStages(rows: readonly StageRow[]): string {
     const firstSpanStartMs = Math.min(...rows.map(({ spanStartMs }) => spanStartMs));
@@ -144,7 +144,7 @@
     return spanMs === undefined ? firstMs : firstMs + Math.floor((t - firstMs) / spanMs) * spanMs;
 }
 
-/** When a job reached each stage, as far as its lines tell; in ms since 1970. */
+/** Returns when a job reached each stage that its events show, in ms since 1970. */
 function listStageTimes(requestEvents: readonly TimelineEvent[]): Map<Stage, number> {
     const times = new Map<Stage, number>();
     const advised = requestEvents.find(({ message }) => message === "advice received");
@@ -187,7 +187,7 @@
     }
 }
 
-/** The nearest-rank percentile of ascending values. */
+/** Computes a percentile of ascending values by the nearest-rank method. */
 function computePercentile(sorted: readonly number[], percentile: number): number {
     const rank = Math.max(1, Math.ceil((percentile / 100) * sorted.length));
     return Math.round(sorted[rank - 1] ?? 0);
--- a/telemetry/stages_test.ts
+++ b/telemetry/stages_test.ts
@@ -6,7 +6,7 @@
     return { t, process: "core-1", zone: "z", message, ...fields };
 }
 
-/** A job of one step with two tasks, placed some time after its acceptance. */
+/** Builds the events of a job with one step of two tasks. */
 function buildJob(
     request: string,
     queue: string,
--- a/telemetry/timeline.ts
+++ b/telemetry/timeline.ts
@@ -1,5 +1,5 @@
 /**
- * Merges the JSON log lines of many processes into one time line, ordered by time.
+ * Merges the JSON logs of several processes into one timeline, ordered by time.
  *
  * @example
  * ```ts
@@ -10,8 +10,9 @@
  * @module
  */
 
-/** One event of the time line. */
+/** One event of the timeline. */
 export interface TimelineEvent {
+    /** In ms since 1970. */
     readonly t: number;
     readonly process: string;
     readonly zone: string;
@@ -20,29 +21,29 @@
     readonly [field: string]: unknown;
 }
 
-/** The message of a line that gathers starts and ends of one step's tasks. */
+/** The message of a line that batches task starts and completions of one step. */
 export const STEP_PROGRESS = "step progress";
 
-/** A unit that was placed. */
+/** The placement of one unit of a step. */
 export interface PlacedUnit {
     readonly unit: number;
     readonly attempt: number;
-    /** Time since the step's turn came, in ms. */
+    /** Time from the step's turn to the placement. */
     readonly waitedMs: number;
     readonly workers: readonly string[];
 }
 
-/** A task that was done. */
+/** The completion of a task. */
 export interface EndedTask {
     readonly task: string;
     readonly attempt: number;
     readonly worker: string;
-    /** Time since its worker took the order, in ms. */
+    /** Time since the worker accepted the task. */
     readonly tookMs: number;
 }
 
-/** How long before its line something happened. */
 interface RelativeTime {
+    /** Time from the event to the line that reports it. */
     readonly agoMs: number;
 }
 
@@ -55,16 +56,16 @@
 
 /** Options of {@link mergeTimeline}. */
 export interface MergeOptions {
-    /** Keep only events of this request. */
+    /** Keeps only the events of this request. */
     readonly request?: string;
 }
 
 /**
- * Parses and merges log texts; lines that are not JSON log events are skipped.
+ * Parses and merges logs, skipping lines that are not JSON log events.
  *
  * @param texts The contents of each process's log.
  * @param options A filter.
- * @returns The events, oldest first (ties keep their process order).
+ * @returns The events, oldest first; events of the same time keep the order of the logs.
  */
 export function mergeTimeline(
     texts: readonly string[],
@@ -86,10 +87,10 @@
 }
 
 /**
- * Gathers the events of each request.
+ * Groups events by request.
  *
  * @param events The merged events.
- * @returns Each request's events, in their order.
+ * @returns The events of each request, in their original order.
  */
 export function collectByRequest(events: readonly TimelineEvent[]): Map<string, TimelineEvent[]> {
     const byRequest = new Map<string, TimelineEvent[]>();
@@ -104,7 +105,7 @@
 }
 
 /**
- * Formats an event as one readable line.
+ * Formats an event as one line of text.
  *
  * @param event The event.
  * @returns `time process zone [request] message fields`.
@@ -118,7 +119,7 @@
     return `${new Date(t).toISOString()} ${process} ${zone}${request === undefined ? "" : ` [${request}]`} ${message} ${fields}`.trimEnd();
 }
 
-/** Gives what a gathered line tells as events of their own, each at its own time. */
+/** Expands a step progress line into one event for each placement and completion. */
 function decodeStepProgress(event: TimelineEvent): TimelineEvent[] {
     if (event.message !== STEP_PROGRESS) {
         return [event];
@@ -144,7 +145,7 @@
 }
 
 function parseEvent(line: string): TimelineEvent | undefined {
-    // What collects the lines may put a time or a name before each.
+    // Log collectors may prefix each line with a time or a name.
     const start = line.indexOf("{");
     if (start < 0) {
         return undefined;
