--- a/telemetry/decision_log.ts
+++ b/telemetry/decision_log.ts
@@ -14,7 +14,7 @@
 
 import type { Logger } from "winston";
 import { RequestSampler } from "./request_sampler.ts";
-import { STEP_PROGRESS, type EndedTask, type PlacedUnit } from "./timeline.ts";
+import { STEP_PROGRESS_MESSAGE, type EndedTask, type PlacedUnit } from "./timeline.ts";
 
 /** The importance of a decision, which sets its log level and whether it may be sampled out. */
 export type DecisionKind = "decision" | "milestone" | "failure";
@@ -108,13 +108,15 @@
     #writeBatches(request: string): void {
         const now = this.#getNow();
         for (const [step, { placed, ended }] of this.#batches.get(request) ?? []) {
-            this.#write("decision", STEP_PROGRESS, {
+            this.#write("decision", STEP_PROGRESS_MESSAGE, {
                 request,
                 step,
                 ...(placed.length > 0
-                    ? { placed: placed.map((row) => toRowWithAge(row, now)) }
+                    ? { placed: placed.map((row) => toRelativeTime(row, now)) }
+                    : {}),
+                ...(ended.length > 0
+                    ? { ended: ended.map((row) => toRelativeTime(row, now)) }
                     : {}),
-                ...(ended.length > 0 ? { ended: ended.map((row) => toRowWithAge(row, now)) } : {}),
             });
         }
         this.#batches.delete(request);
@@ -165,7 +167,7 @@
 }
 
 /** Replaces a row's time by its age in ms when the line is written. */
-function toRowWithAge<T extends { readonly at: number }>(
+function toRelativeTime<T extends { readonly at: number }>(
     { at, ...row }: T,
     now: number,
 ): Omit<T, "at"> & { agoMs: number } {
--- a/telemetry/explain.ts
+++ b/telemetry/explain.ts
@@ -107,7 +107,7 @@
             counts.set(outcome, (counts.get(outcome) ?? 0) + 1);
         }
     }
-    return [...counts].map(([how, count]) => `${count} of its runs ended ${how}`);
+    return [...counts].map(([outcome, count]) => `${count} of its runs ended ${outcome}`);
 }
 
 function isLongWait(event: TimelineEvent): boolean {
--- a/telemetry/timeline.ts
+++ b/telemetry/timeline.ts
@@ -22,7 +22,7 @@
 }
 
 /** The message of a line that batches task starts and completions of one step. */
-export const STEP_PROGRESS = "step progress";
+export const STEP_PROGRESS_MESSAGE = "step progress";
 
 /** The placement of one unit of a step. */
 export interface PlacedUnit {
@@ -47,7 +47,7 @@
     readonly agoMs: number;
 }
 
-/** A line of {@link STEP_PROGRESS}. */
+/** A line of {@link STEP_PROGRESS_MESSAGE}. */
 interface StepProgressEvent extends TimelineEvent {
     readonly step: string;
     readonly placed?: readonly (PlacedUnit & RelativeTime)[];
@@ -121,7 +121,7 @@
 
 /** Expands a step progress line into one event for each placement and completion. */
 function decodeStepProgress(event: TimelineEvent): TimelineEvent[] {
-    if (event.message !== STEP_PROGRESS) {
+    if (event.message !== STEP_PROGRESS_MESSAGE) {
         return [event];
     }
     const { placed = [], ended = [], ...shared } = event as StepProgressEvent;
