--- a/telemetry/audit.ts
+++ b/telemetry/audit.ts
@@ -147,7 +147,7 @@
             const next = taskRuns[i + 1];
             if (next !== undefined && next.startedAtMs < run.endedAtMs) {
                 violations.push(
-                    `two places: ${task} starts on ${next.instance} at ${next.startedAtMs}, on ${run.instance} until ${run.endedAtMs}`,
+                    `concurrent runs: ${task} starts on ${next.instance} at ${next.startedAtMs}, but runs on ${run.instance} until ${run.endedAtMs}`,
                 );
             }
         });
@@ -165,17 +165,17 @@
         const requestRuns = byRequest.get(outcome.requestId) ?? [];
         const id = `${outcome.requestId} (${outcome.state})`;
         if (!outcome.final) {
-            violations.push(`no end: ${id}`);
+            violations.push(`not final: ${id}`);
         }
         if (!outcome.mayHaveRun && requestRuns.length > 0) {
             violations.push(
-                `untrue: ${id} was said not to have run, but ${requestRuns.length} task(s) did`,
+                `wrong outcome: ${id} was reported as never run, but has ${requestRuns.length} task run(s)`,
             );
         }
         for (const [task, attempts] of collectByKey(requestRuns, (r) => r.task)) {
             if (outcome.atMostOnce && attempts.length > 1) {
                 violations.push(
-                    `repeated: ${task} of at-most-once ${id} ran ${attempts.length} times`,
+                    `run more than once: ${task} of at-most-once ${id} ran ${attempts.length} times`,
                 );
             }
         }
@@ -184,7 +184,7 @@
         );
         if (outcome.state === "completed" && completed.size < outcome.tasks) {
             violations.push(
-                `untrue: ${id} completed ${completed.size} of ${outcome.tasks} task(s)`,
+                `wrong outcome: ${id} has only completed ${completed.size} of ${outcome.tasks} task(s)`,
             );
         }
     }
--- a/telemetry/causes_test.ts
+++ b/telemetry/causes_test.ts
@@ -28,7 +28,7 @@
     ];
 }
 
-test("requests in time are counted without a cause, late ones with the first that fits", (t) => {
+test("counts delayed and failed requests by the first cause that applies", (t) => {
     const events = [
         ...buildRequest("a", 0, [800, 900, 1_000]),
         ...buildRequest("b", 100, [800, 900, 4_000]),
@@ -55,7 +55,7 @@
     t.regex(formatCauses(rows), /0\.0 s\s+3\s+2 {2}#+\s+straggler 1, order lost 1/);
 });
 
-test("a request that waited for a new leader is told so", (t) => {
+test("attributes a delay during a leader change to the leader", (t) => {
     const [accepted, , complete] = buildRequest("a", 0, [500]);
     const events = [
         accepted as TimelineEvent,
@@ -71,6 +71,6 @@
     t.deepEqual([...(listCauseRows(events)[0]?.causes ?? [])], [["leader", 1]]);
 });
 
-test("a day without requests gives an empty table", (t) => {
+test("returns no rows without requests", (t) => {
     t.deepEqual(listCauseRows([]), []);
 });
--- a/telemetry/decision_log_test.ts
+++ b/telemetry/decision_log_test.ts
@@ -69,7 +69,7 @@
     decisions.record("decision", "job complete", { request });
 }
 
-test("forty events of a step of twenty tasks are one line, and merge into forty events again", (t) => {
+test("writes the forty events of a step as one line, which merges back into forty events", (t) => {
     const log = buildLog();
     runJob(log, "a", 20);
     t.deepEqual(
@@ -84,7 +84,7 @@
     t.is(events.find(({ message }) => message === "task ended")?.t, 50);
 });
 
-test("a run that failed is told at once, and so is what a stopping leader has gathered", (t) => {
+test("logs a failure at once, and batched decisions when the leader stops", (t) => {
     const { decisions, lines } = buildLog();
     decisions.record("decision", "attempt placed", {
         request: "a",
@@ -103,7 +103,7 @@
     t.is(lines.at(-1)?.message, "step progress");
 });
 
-test("beyond the log's limit whole requests are left out; the others' stories have no gap", (t) => {
+test("samples whole requests above the rate limit, and logs sampled ones completely", (t) => {
     // Dropping single lines would leave gaps in nearly every request.
     const log = buildLog(12);
     const jobs = 5_000;
@@ -120,11 +120,11 @@
     }
     const eventsPerJob = 8;
     t.deepEqual([...new Set(counts.values())], [eventsPerJob]);
-    t.true(counts.size > 100 && counts.size < jobs / 2, `${counts.size} requests told`);
+    t.true(counts.size > 100 && counts.size < jobs / 2, `${counts.size} requests logged`);
     t.true(log.lines.some(({ message }) => message === "requests sampled"));
 });
 
-test("a request that was left out is told of once it meets a failure", (t) => {
+test("logs a request that was not sampled from its first failure on", (t) => {
     const { decisions, lines, clock } = buildLog(1);
     for (let i = 0; i < 50_000; i++) {
         clock.now += 1;
--- a/telemetry/event_loop_monitor_test.ts
+++ b/telemetry/event_loop_monitor_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { EventLoopMonitor } from "./event_loop_monitor.ts";
 
-test("a turn that came on time is silent, a held one is told of with its length", (t) => {
+test("reports how long the event loop was blocked, and nothing for a timer on time", (t) => {
     const blockedMs: number[] = [];
     const clock = { now: 0 };
     const monitor = new EventLoopMonitor({
--- a/telemetry/explain.ts
+++ b/telemetry/explain.ts
@@ -66,18 +66,22 @@
     relatedEvents: readonly TimelineEvent[],
 ): string[] {
     if (requestEvents.length === 0) {
-        return ["no process logged this request: it reached no leader, or its lines were given up"];
+        return [
+            "no process logged this request: it reached no leader, or its log lines were dropped",
+        ];
     }
     const causes: string[] = [];
     const hasMessage = (message: string): boolean =>
         requestEvents.some((event) => event.message === message);
     if (hasMessage("no leader for a call") && !hasMessage("job accepted")) {
-        causes.push("no leader could be reached while it was handed in");
+        causes.push("no leader could be reached when it was submitted");
     }
     causes.push(...summarizeAbnormalEnds(requestEvents));
     for (const event of requestEvents) {
         if (event.message === "job failed") {
-            causes.push(`a task failed as often as its queue allows (${String(event["limit"])})`);
+            causes.push(
+                `a task reached the failure limit of its queue (${String(event["limit"])})`,
+            );
         } else if (event.message === "start refused") {
             causes.push(`a start was refused: ${String(event["reason"])}`);
         } else if (event.message === "start unanswered") {
@@ -107,7 +111,7 @@
             counts.set(outcome, (counts.get(outcome) ?? 0) + 1);
         }
     }
-    return [...counts].map(([outcome, count]) => `${count} of its runs ended ${outcome}`);
+    return [...counts].map(([outcome, count]) => `${count} task run(s) ended as ${outcome}`);
 }
 
 function isLongWait(event: TimelineEvent): boolean {
--- a/telemetry/explain_test.ts
+++ b/telemetry/explain_test.ts
@@ -8,7 +8,7 @@
     return { t, process: "core-1", zone: "z", message, ...fields };
 }
 
-test("a late request is traced through a lost leader and a worker that went away", (t) => {
+test("explains a delayed request by its lost worker and a leader change", (t) => {
     const events = [
         buildEvent(1_000, "job accepted", { request: REQUEST }),
         buildEvent(1_020, "attempt placed", {
@@ -27,14 +27,14 @@
     ];
     const { causes, events: shown } = explainRequest(events, REQUEST);
     t.deepEqual(causes, [
-        "1 of its runs ended lost",
+        "1 task run(s) ended as lost",
         "the leader core-1 was lost meanwhile",
         "lease over: w1",
     ]);
     t.false(shown.some((event) => event["worker"] === "w7"));
 });
 
-test("a request that no leader took is told by the front's line", (t) => {
+test("explains a request without a leader by the front's log line", (t) => {
     const events = [
         buildEvent(1_000, "no leader for a call", { path: `/previews/${REQUEST}`, call: "submit" }),
     ];
@@ -42,7 +42,7 @@
     t.regex(explainRequest([], REQUEST).causes[0] ?? "", /no process logged/);
 });
 
-test("a refused start and a long wait are told with their figures", (t) => {
+test("reports a refused start with its reason and a long wait with its duration", (t) => {
     const events = [
         buildEvent(1, "start refused", { request: REQUEST, reason: "ticket", worker: "w1" }),
         buildEvent(2, "attempt placed", { request: REQUEST, waitedMs: 4_000, step: "s" }),
--- a/telemetry/log_sink_test.ts
+++ b/telemetry/log_sink_test.ts
@@ -29,7 +29,7 @@
 
 const LINE = `${"x".repeat(99)}\n`;
 
-test("a stalled reader neither blocks nor grows the queue without bound", async (t) => {
+test("bounds the queue while the reader stalls, and reports dropped lines", async (t) => {
     // Lines about failures use a reserve; dropped lines are reported once the reader is back.
     const { sink, release, texts } = buildStalledSink();
     sink.write(LINE, false);
@@ -48,7 +48,7 @@
     t.regex(texts[1] ?? "", /"log lines given up","count":91/);
 });
 
-test("the rate is bounded in the long run, failures are not counted", (t) => {
+test("limits the sustained line rate, except for failures", (t) => {
     const { sink, clock } = buildStalledSink();
     const rateLimitedSink = new LogSink({
         linesPerSecond: 10,
@@ -69,7 +69,7 @@
     t.is(sink.droppedLines, 0);
 });
 
-test("what changes the group's state is written when a busy leader's other lines are given up", (t) => {
+test("keeps lines at level notice when lines at level info are dropped", (t) => {
     // At `info` the line would share the rate limit of the lines about tasks.
     const sink = new LogSink({
         linesPerSecond: 0,
@@ -82,7 +82,7 @@
     t.true(sink.queuedBytes > 0);
 });
 
-test("a burst of lines goes out in blocks that a pipe takes whole", async (t) => {
+test("writes a burst in blocks of whole lines within the pipe's atomic write size", async (t) => {
     // After one long write, a collector's read ends within a line and the rest is lost, uncounted.
     const blocks: Buffer[] = [];
     const sink = new LogSink({
--- a/telemetry/rate_limited_log_test.ts
+++ b/telemetry/rate_limited_log_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { RateLimitedLog, type RateLimitedFields } from "./rate_limited_log.ts";
 
-test("one line a second at most tells how many there were and of the last one", (t) => {
+test("reports the count and the last event's fields once a second at most", (t) => {
     const lines: RateLimitedFields[] = [];
     const clock = { now: 0 };
     const log = new RateLimitedLog(
--- a/telemetry/stages_test.ts
+++ b/telemetry/stages_test.ts
@@ -31,7 +31,7 @@
     ];
 }
 
-test("each queue's stages: when its jobs were asked about, advised, placed, run and done", (t) => {
+test("lists for each queue the latencies until each stage of its jobs", (t) => {
     const events = [
         ...buildJob("a", "previews", 0, 80),
         ...buildJob("b", "previews", 10, 180),
@@ -54,7 +54,7 @@
     t.regex(formatStages(rows), /complete\s+1\s+2900\s+2900\s+2900 {2}#{40}/);
 });
 
-test("jobs are tabulated by the span in which they were accepted", (t) => {
+test("groups jobs by the span in which they were accepted", (t) => {
     const events = [...buildJob("a", "q", 1_000, 80), ...buildJob("b", "q", 5_500, 80)];
     const rows = listStageRows(events, { spanMs: 2_000 });
     t.deepEqual(
