--- a/tools/build_daemons.ts
+++ b/tools/build_daemons.ts
@@ -100,5 +100,5 @@
 mkdirSync(TARGET, { recursive: true });
 writeCharts();
 await buildBundles();
-await runWarmUp({ starter: join(TARGET, "poplarhead_start.cjs"), listFlags: listEngineFlags });
+await runWarmUp({ startScript: join(TARGET, "poplarhead_start.cjs"), listFlags: listEngineFlags });
 selectCodeCaches();
