--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -19,7 +19,7 @@
 import type { Logger } from "winston";
 import { checkConfiguration, findQueue, type Configuration } from "../configuration/mod.ts";
 import { isSameReport, type DispatchLimits, type LaneId } from "../dispatch/mod.ts";
-import { CellClock, GroupMember, PeerNetwork, type PeerEnvelope } from "../group/mod.ts";
+import { GroupMember, LeaderClock, PeerNetwork, type PeerEnvelope } from "../group/mod.ts";
 import { StateStore, type FactBatch, type JobId, type WorkerId } from "../job/mod.ts";
 import {
     OutcomeUnknownError,
@@ -118,7 +118,7 @@
     readonly #self: EntryId;
     readonly #committedState = new StateStore();
     readonly #stateReader = new StateReader(this.#committedState);
-    readonly #clock = new CellClock();
+    readonly #clock = new LeaderClock();
     readonly #clockJumpDetector: ClockJumpDetector;
     readonly #network: PeerNetwork;
     readonly #clients = new RpcClientPool({ timeoutMs: FORWARD_TIMEOUT_MS });
@@ -147,7 +147,7 @@
         this.#network = new PeerNetwork({ findAddress: (id) => id, timeoutMs: PEER_TIMEOUT_MS });
         this.#router = new LeaderRouter({
             listSeeds: options.listSeeds,
-            silenceMs: selectFailoverTimeoutMs(options.toleratedFailures),
+            inactivityTimeoutMs: selectFailoverTimeoutMs(options.toleratedFailures),
         });
         this.#voterPlanner = new VoterPlanner({
             self: this.#self,
@@ -221,7 +221,7 @@
             network: this.#network,
             dataDir,
             timings: this.#options.timings ?? selectTimings(this.#options.toleratedFailures),
-            listContacts: () => this.#router.listMembers() as EntryId[],
+            listPeers: () => this.#router.listMembers() as EntryId[],
             startedAt: this.#options.processStartedAtMs,
             snapshotEvery: this.#options.batchesPerSnapshot ?? DEFAULT_BATCHES_PER_SNAPSHOT,
             onLeadershipGained: () => this.#startLeading(),
@@ -353,7 +353,7 @@
      * directed to the leader for jobs that aren't replicated here yet.
      */
     async #readState(call: CallerCall): Promise<CallerAnswer> {
-        const sinceLeaderContactMs = performance.now() - (this.#member?.heardLeaderAt ?? 0);
+        const sinceLeaderContactMs = performance.now() - (this.#member?.lastLeaderContactMs ?? 0);
         const { configuration } = this.#committedState;
         const match =
             configuration === undefined
--- a/control/voter_planner.ts
+++ b/control/voter_planner.ts
@@ -79,7 +79,7 @@
         this.#plannedVoters = planVoters({
             current: currentVoters,
             live: new Map(liveInstances).set(self, zone),
-            target,
+            targetSize: target,
         });
     }
 
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -34,7 +34,7 @@
     type Deployment,
     type EntryId,
     type Layout,
-    type LeadClaim,
+    type LeadershipClaim,
 } from "../membership/mod.ts";
 import type { Rules, RulesChange } from "../rules/mod.ts";
 import { MethodError, startRpcServer, type RpcServer } from "../rpc/mod.ts";
@@ -292,7 +292,7 @@
             );
         }
         const { spec } = parseParams(submitSchema, params);
-        const home = this.#layout.findHome(spec.caller, createId<ServiceId>(spec.service));
+        const home = this.#layout.findHomeGroup(spec.caller, createId<ServiceId>(spec.service));
         return this.#router.route(home, "request.submit", params);
     }
 
@@ -360,7 +360,7 @@
     }
 
     #findReplica(id: RequestId): ZoneGroup | undefined {
-        const owner = this.#layout.findOwner(id);
+        const owner = this.#layout.findOwnerGroup(id);
         return owner === undefined ? undefined : this.#zones.get(owner.id);
     }
 
@@ -368,7 +368,7 @@
     async #routeRequest(method: string, params: unknown): Promise<unknown> {
         const ref = parseParams(requestRefSchema, params);
         if (ref.requestId !== undefined) {
-            const owner = this.#layout.findOwner(ref.requestId);
+            const owner = this.#layout.findOwnerGroup(ref.requestId);
             if (owner === undefined) {
                 throw createNotFoundError();
             }
@@ -379,7 +379,7 @@
         }
         const { caller } = ref;
         const homes = new Set(
-            this.#options.inventory.services.map((s) => this.#layout.findHome(caller, s.id)),
+            this.#options.inventory.services.map((s) => this.#layout.findHomeGroup(caller, s.id)),
         );
         let missing: unknown = createNotFoundError();
         for (const home of homes) {
@@ -528,7 +528,7 @@
     }
 
     #updateGossip(): void {
-        const leads: LeadClaim[] = [];
+        const leads: LeadershipClaim[] = [];
         for (const [group, zone] of this.#zones) {
             if (zone.isServing) {
                 const { term } = zone.member.replica;
@@ -539,17 +539,17 @@
             const { term } = this.#config.member.replica;
             leads.push({ group: this.#layout.config.id, term, freeCores: 0 });
         }
-        this.#gossip.setSelf(leads, !this.#isAccepting);
+        this.#gossip.setLocalState(leads, !this.#isAccepting);
     }
 
     async #sendGossip(): Promise<void> {
         const peers = this.#gossip.tick(performance.now());
-        const table = this.#gossip.listTable();
+        const table = this.#gossip.listEntries();
         await Promise.all(
             peers.map(async (peer) => {
                 const answer = await this.#network
                     .getClient(peer)
-                    ?.call<ReturnType<Gossip["listTable"]>>("peer.gossip", { table })
+                    ?.call<ReturnType<Gossip["listEntries"]>>("peer.gossip", { table })
                     .catch(() => undefined);
                 if (answer !== undefined) {
                     this.#gossip.receive(answer, performance.now());
--- a/entry/worker_api.ts
+++ b/entry/worker_api.ts
@@ -86,7 +86,7 @@
     async #handleReport(params: unknown): Promise<{ ok: true }> {
         const { reports } = parseParams(reportSchema, params);
         const typed = reports.map((r) => ({ ...r, lease: createId<LeaseId>(r.lease) }));
-        const owner = this.#options.layout.findOwner(typed[0]?.lease ?? "");
+        const owner = this.#options.layout.findOwnerGroup(typed[0]?.lease ?? "");
         if (owner === undefined) {
             throw new MethodError("no group gave out this lease", NOT_FOUND_CODE);
         }
--- a/entry/zone_group.ts
+++ b/entry/zone_group.ts
@@ -45,7 +45,7 @@
     type AdoptItem,
     type HandOverAgentOptions,
 } from "./hand_over_agent.ts";
-import { CellClock, GroupMember, type GroupMemberOptions } from "../group/mod.ts";
+import { GroupMember, LeaderClock, type GroupMemberOptions } from "../group/mod.ts";
 import { WorkerLink } from "./worker_link.ts";
 
 /** What applying an input gave, or why it gave nothing; the same on every replica. */
@@ -100,7 +100,7 @@
 /** One zone's group on one entry instance. */
 export class ZoneGroup {
     readonly #options: ZoneGroupOptions;
-    readonly #clock = new CellClock();
+    readonly #clock = new LeaderClock();
     readonly #workers: WorkerLink;
     readonly #handOvers: HandOverAgent;
     readonly cell: Cell;
--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -139,7 +139,7 @@
         this.#options = options;
         this.#router = new LeaderRouter({
             listSeeds: options.listSeeds,
-            silenceMs: selectFailoverTimeoutMs(options.tolerated ?? 1),
+            inactivityTimeoutMs: selectFailoverTimeoutMs(options.tolerated ?? 1),
         });
         this.#reachability = new LeaderReachability({
             zone: options.zone,
@@ -257,7 +257,7 @@
         const computeTimeoutMs = (): number => this.#computeTimeoutMs(budgetMs);
         const budget = {
             computeUndeliveredMs: computeTimeoutMs,
-            computeUnsureMs: computeTimeoutMs,
+            computeDeliveredMs: computeTimeoutMs,
         };
         const answer = await this.#router.call<CallerAnswer>(METHODS.callers, call, budget);
         // A late answer does not show that the leader can be reached now.
@@ -285,7 +285,7 @@
     #handleCallFailure(call: CallerCall, error: Error): boolean {
         const mayHaveHappened =
             error instanceof NoLeaderError
-                ? error.mayHaveHappened
+                ? error.mayHaveExecuted
                 : !(error instanceof RpcError && (error.isUndelivered || isNotLeaderError(error)));
         this.#options.log.warn("no leader for a call", {
             path: call.path,
@@ -304,7 +304,7 @@
             return await this.#callLeader(call, budgetMs);
         } catch (error) {
             if (error instanceof NoLeaderError) {
-                const code = error.mayHaveHappened ? OUTCOME_UNKNOWN_CODE : NOT_LEADER_CODE;
+                const code = error.mayHaveExecuted ? OUTCOME_UNKNOWN_CODE : NOT_LEADER_CODE;
                 throw new MethodError(error.message, code);
             }
             throw error;
--- a/group/group_member.ts
+++ b/group/group_member.ts
@@ -38,7 +38,7 @@
     readonly dataDir: string | undefined;
     readonly timings: ConsensusTimings;
     /** Instances to ask for the log; those that should vote by default. */
-    readonly listContacts?: () => readonly EntryId[];
+    readonly listPeers?: () => readonly EntryId[];
     /** When this process started, in ms on the monotonic clock, if known. */
     readonly startedAt?: number;
     readonly batchWindowMs?: number;
@@ -47,33 +47,33 @@
     readonly log: Logger;
 }
 
-const MAINTENANCE_MS = 500;
+const MAINTENANCE_INTERVAL_MS = 500;
 /** A member whose election is not won for this long says so, and again as often, in ms: some elections. */
-const ELECTION_LOG_MS = 2_000;
+const ELECTION_WARNING_INTERVAL_MS = 2_000;
 /** A learner that has not answered for this long is no longer sent the log. */
-const LEARNER_SILENCE_MS = 10_000;
+const LEARNER_TIMEOUT_MS = 10_000;
 
 /** One entry instance's part in one group. */
 export class GroupMember<C, R> {
     readonly #options: GroupMemberOptions<C, R>;
     readonly #replica: Replica<C, R>;
-    readonly #member: MemberId;
+    readonly #memberId: MemberId;
     #maintenance: Subscription | undefined;
-    #askNext = 0;
-    #campaigningSince: number | undefined;
+    #nextPeerIndex = 0;
+    #warningIntervalStartMs: number | undefined;
     /** The last time a leader sent something, in ms on the monotonic clock. */
-    #heardAt = Number.NEGATIVE_INFINITY;
+    #lastLeaderContactMs = Number.NEGATIVE_INFINITY;
 
     /**
      * @param options The group, identity, state machine; see {@link GroupMemberOptions}.
      */
     constructor(options: GroupMemberOptions<C, R>) {
         this.#options = options;
-        this.#member = createMemberId(options.self, options.incarnation);
+        this.#memberId = createMemberId(options.self, options.incarnation);
         const firstVoters = options.group.voters.map((id) => createMemberId(id));
         this.#replica = new Replica<C, R>({
             ...options,
-            self: this.#member,
+            self: this.#memberId,
             storage:
                 options.dataDir === undefined
                     ? new MemoryStorage()
@@ -83,7 +83,7 @@
                       }),
             transport: options.network.createTransport(
                 options.group.id,
-                this.#member,
+                this.#memberId,
                 () => this.#replica,
             ),
             initialVoters: firstVoters,
@@ -99,7 +99,9 @@
     /** Starts the replica and the upkeep of the membership. */
     start(): void {
         this.#replica.start();
-        this.#maintenance = interval(MAINTENANCE_MS).subscribe(() => this.#runMaintenance());
+        this.#maintenance = interval(MAINTENANCE_INTERVAL_MS).subscribe(() =>
+            this.#runMaintenance(),
+        );
         this.#runMaintenance();
     }
 
@@ -128,8 +130,8 @@
     }
 
     /** When a leader last sent something, in ms on the monotonic clock. */
-    get heardLeaderAt(): number {
-        return this.#heardAt;
+    get lastLeaderContactMs(): number {
+        return this.#lastLeaderContactMs;
     }
 
     /** The leader's entry instance, as far as this replica knows. */
@@ -151,11 +153,11 @@
         to: MemberId,
         message: GroupMessage,
     ): Promise<GroupMessage | null> {
-        if (to !== this.#member) {
+        if (to !== this.#memberId) {
             return null;
         }
         if (message.type === "append" || message.type === "snapshot") {
-            this.#heardAt = performance.now();
+            this.#lastLeaderContactMs = performance.now();
         }
         return (await this.#replica.receive(from, message)) ?? null;
     }
@@ -168,10 +170,10 @@
      */
     addLearner(member: MemberId): { readonly leader: EntryId | undefined } {
         if (this.#replica.role === "leader") {
-            for (const known of this.#replica.listLearners()) {
-                const isEarlier = parseEntryId(known.member) === parseEntryId(member);
-                if (isEarlier && known.member !== member) {
-                    this.#replica.removeLearner(known.member);
+            for (const learner of this.#replica.listLearners()) {
+                const isSameInstance = parseEntryId(learner.member) === parseEntryId(member);
+                if (isSameInstance && learner.member !== member) {
+                    this.#replica.removeLearner(learner.member);
                 }
             }
             this.#replica.addLearner(member);
@@ -182,7 +184,7 @@
     #runMaintenance(): void {
         if (this.#replica.role === "leader") {
             this.#updateVoters();
-            this.#removeSilentLearners();
+            this.#removeUnresponsiveLearners();
         } else if (this.#replica.role === "learner") {
             void this.#sendSubscribe();
         }
@@ -193,12 +195,12 @@
     #reportElection(now: number): void {
         const { campaign, term } = this.#replica;
         if (campaign === undefined) {
-            this.#campaigningSince = undefined;
+            this.#warningIntervalStartMs = undefined;
             return;
         }
-        this.#campaigningSince ??= now;
-        if (now - this.#campaigningSince >= ELECTION_LOG_MS) {
-            this.#campaigningSince = now;
+        this.#warningIntervalStartMs ??= now;
+        if (now - this.#warningIntervalStartMs >= ELECTION_WARNING_INTERVAL_MS) {
+            this.#warningIntervalStartMs = now;
             const { group } = this.#options;
             this.#options.log.warn("election not won", { group: group.id, term, ...campaign });
         }
@@ -211,26 +213,29 @@
      */
     #updateVoters(): void {
         const { voters } = this.#replica;
-        const wanted = this.#options.group.voters;
-        const joining = this.#replica
+        const configuredVoters = this.#options.group.voters;
+        const caughtUpLearner = this.#replica
             .listLearners()
-            .find((l) => l.isCaughtUp && wanted.includes(parseEntryId(l.member)));
-        if (joining !== undefined && this.#replica.proposeVoters([...voters, joining.member])) {
+            .find((l) => l.isCaughtUp && configuredVoters.includes(parseEntryId(l.member)));
+        if (
+            caughtUpLearner !== undefined &&
+            this.#replica.proposeVoters([...voters, caughtUpLearner.member])
+        ) {
             this.#options.log.notice("voter added", {
                 group: this.#options.group.id,
                 voters: this.#replica.voters.length,
-                member: joining.member,
+                member: caughtUpLearner.member,
             });
             return;
         }
-        const leaving = voters.find((voter) => this.#isReplaced(voter, voters));
-        if (leaving !== undefined) {
-            const rest = voters.filter((v) => v !== leaving);
-            if (this.#replica.proposeVoters(rest)) {
+        const obsoleteVoter = voters.find((voter) => this.#isObsoleteVoter(voter, voters));
+        if (obsoleteVoter !== undefined) {
+            const remainingVoters = voters.filter((v) => v !== obsoleteVoter);
+            if (this.#replica.proposeVoters(remainingVoters)) {
                 this.#options.log.notice("voter removed", {
                     group: this.#options.group.id,
                     voters: this.#replica.voters.length,
-                    member: leaving,
+                    member: obsoleteVoter,
                 });
             }
         }
@@ -241,22 +246,25 @@
      * not vote at all and every one that should does: removing first would leave the group with
      * less to lose while it changes.
      */
-    #isReplaced(voter: MemberId, voters: readonly MemberId[]): boolean {
-        const wanted = this.#options.group.voters;
-        const id = parseEntryId(voter);
-        const twins = voters.filter((v) => parseEntryId(v) === id);
-        if (twins.length > 1) {
-            return voter === twins[0];
+    #isObsoleteVoter(voter: MemberId, voters: readonly MemberId[]): boolean {
+        const configuredVoters = this.#options.group.voters;
+        const instance = parseEntryId(voter);
+        const incarnations = voters.filter((v) => parseEntryId(v) === instance);
+        if (incarnations.length > 1) {
+            return voter === incarnations[0];
         }
-        const voting = voters.map((v) => parseEntryId(v));
-        return !wanted.includes(id) && wanted.every((w) => voting.includes(w));
+        const votingInstances = voters.map((v) => parseEntryId(v));
+        return (
+            !configuredVoters.includes(instance) &&
+            configuredVoters.every((w) => votingInstances.includes(w))
+        );
     }
 
-    #removeSilentLearners(): void {
+    #removeUnresponsiveLearners(): void {
         for (const learner of this.#replica.listLearners()) {
             if (
                 learner.ackedAtMs !== Number.NEGATIVE_INFINITY &&
-                performance.now() - learner.ackedAtMs > LEARNER_SILENCE_MS
+                performance.now() - learner.ackedAtMs > LEARNER_TIMEOUT_MS
             ) {
                 this.#replica.removeLearner(learner.member);
             }
@@ -265,23 +273,27 @@
 
     /** Asks one voter after another for the log, until a leader sends it. */
     async #sendSubscribe(): Promise<void> {
-        const silentFor = performance.now() - this.#heardAt;
-        if (silentFor < 4 * this.#options.timings.heartbeatMs) {
+        const sinceLeaderContactMs = performance.now() - this.#lastLeaderContactMs;
+        if (sinceLeaderContactMs < 4 * this.#options.timings.heartbeatMs) {
             return;
         }
-        const contacts = this.#options.listContacts?.() ?? this.#options.group.voters;
-        const others = contacts.filter((id) => id !== this.#options.self);
-        const target = others[this.#askNext++ % Math.max(1, others.length)];
+        const peers = this.#options.listPeers?.() ?? this.#options.group.voters;
+        const otherPeers = peers.filter((id) => id !== this.#options.self);
+        const target = otherPeers[this.#nextPeerIndex++ % Math.max(1, otherPeers.length)];
         const client = target === undefined ? undefined : this.#options.network.getClient(target);
-        const ask = { group: this.#options.group.id, member: this.#member };
-        const answer = await client
-            ?.call<{ leader: EntryId | undefined }>("peer.subscribe", ask)
+        const params = { group: this.#options.group.id, member: this.#memberId };
+        const response = await client
+            ?.call<{ leader: EntryId | undefined }>("peer.subscribe", params)
             .catch(() => undefined);
-        const hinted = answer?.leader;
-        if (hinted !== undefined && hinted !== target && hinted !== this.#options.self) {
+        const leaderHint = response?.leader;
+        if (
+            leaderHint !== undefined &&
+            leaderHint !== target &&
+            leaderHint !== this.#options.self
+        ) {
             await this.#options.network
-                .getClient(hinted)
-                ?.call("peer.subscribe", ask)
+                .getClient(leaderHint)
+                ?.call("peer.subscribe", params)
                 .catch(() => undefined);
         }
     }
--- a/group/mod.ts
+++ b/group/mod.ts
@@ -10,6 +10,6 @@
  * @module
  */
 
-export * from "./cell_clock.ts";
 export * from "./group_member.ts";
+export * from "./leader_clock.ts";
 export * from "./peer_network.ts";
--- a/group/peer_network.ts
+++ b/group/peer_network.ts
@@ -42,9 +42,9 @@
     readonly snapshotTimeoutMs?: number;
 }
 
-interface Channel {
-    isBusy: boolean;
-    readonly waiting: GroupMessage[];
+interface PeerChannel {
+    isSending: boolean;
+    readonly queue: GroupMessage[];
 }
 
 const DEFAULT_TIMEOUT_MS = 1_000;
@@ -54,7 +54,7 @@
 export class PeerNetwork {
     readonly #options: PeerNetworkOptions;
     readonly #clients: RpcClientPool;
-    readonly #channels = new Map<string, Channel>();
+    readonly #channels = new Map<string, PeerChannel>();
     #isClosed = false;
 
     /**
@@ -98,25 +98,25 @@
         return {
             send: (to, message) => {
                 const key = `${group}|${to}`;
-                const channel = this.#channels.get(key) ?? { isBusy: false, waiting: [] };
+                const channel = this.#channels.get(key) ?? { isSending: false, queue: [] };
                 this.#channels.set(key, channel);
-                addMessage(channel, message);
-                void this.#sendWaiting(channel, { group, from: self, to }, getReceiver());
+                enqueueMessage(channel, message);
+                void this.#sendQueued(channel, { group, from: self, to }, getReceiver());
             },
         };
     }
 
-    async #sendWaiting(
-        channel: Channel,
+    async #sendQueued(
+        channel: PeerChannel,
         envelope: Omit<PeerEnvelope, "message">,
         receiver: MessageReceiver,
     ): Promise<void> {
-        if (channel.isBusy) {
+        if (channel.isSending) {
             return;
         }
-        channel.isBusy = true;
+        channel.isSending = true;
         for (;;) {
-            const message = channel.waiting.shift();
+            const message = channel.queue.shift();
             if (message === undefined || this.#isClosed) {
                 break;
             }
@@ -129,7 +129,7 @@
                 receiver.handleUndelivered(envelope.to);
             }
         }
-        channel.isBusy = false;
+        channel.isSending = false;
     }
 
     async #sendEnvelope(envelope: PeerEnvelope): Promise<GroupMessage | null> {
@@ -145,12 +145,12 @@
     }
 }
 
-function addMessage(channel: Channel, message: GroupMessage): void {
+function enqueueMessage(channel: PeerChannel, message: GroupMessage): void {
     if (message.type === "append" || message.type === "snapshot") {
-        const older = channel.waiting.findIndex((m) => m.type === message.type);
-        if (older >= 0) {
-            channel.waiting.splice(older, 1);
+        const supersededIndex = channel.queue.findIndex((m) => m.type === message.type);
+        if (supersededIndex >= 0) {
+            channel.queue.splice(supersededIndex, 1);
         }
     }
-    channel.waiting.push(message);
+    channel.queue.push(message);
 }
--- a/membership/gossip.ts
+++ b/membership/gossip.ts
@@ -19,7 +19,7 @@
 import type { EntryId } from "./layout.ts";
 
 /** What a leader says of a group it leads. */
-export interface LeadClaim {
+export interface LeadershipClaim {
     readonly group: GroupId;
     readonly term: number;
     /** Cores free for new work; 0 while its own work waits. */
@@ -33,7 +33,7 @@
     readonly startedAt: number;
     readonly counter: number;
     /** Groups it leads. */
-    readonly leads: readonly LeadClaim[];
+    readonly leads: readonly LeadershipClaim[];
     /** It is shutting down: send it nothing new. */
     readonly stopping: boolean;
 }
@@ -48,30 +48,30 @@
     /** How many others it exchanges with in one round. */
     readonly fanout?: number;
     /** Silence after which an instance is suspected, in ms. */
-    readonly suspectMs?: number;
+    readonly suspectTimeoutMs?: number;
 }
 
 /** An instance's state as this one sees it. */
 export type MemberStatus = "up" | "suspected" | "unknown" | "stopping";
 
-interface Known {
+interface KnownMember {
     entry: GossipEntry;
-    changedAt: number;
+    updatedAtMs: number;
 }
 
 /** The failure detector and leader directory of one instance. */
 export class Gossip {
     readonly #options: Required<GossipOptions>;
-    readonly #known = new Map<EntryId, Known>();
+    readonly #knownMembers = new Map<EntryId, KnownMember>();
     #counter = 0;
-    #leads: readonly LeadClaim[] = [];
-    #stopping = false;
+    #leadershipClaims: readonly LeadershipClaim[] = [];
+    #isStopping = false;
 
     /**
      * @param options Who takes part; see {@link GossipOptions}.
      */
     constructor(options: GossipOptions) {
-        this.#options = { fanout: 2, suspectMs: 3_000, ...options };
+        this.#options = { fanout: 2, suspectTimeoutMs: 3_000, ...options };
     }
 
     /**
@@ -80,9 +80,9 @@
      * @param leads Groups it leads.
      * @param stopping Whether it is shutting down.
      */
-    setSelf(leads: readonly LeadClaim[], stopping: boolean): void {
-        this.#leads = leads;
-        this.#stopping = stopping;
+    setLocalState(leads: readonly LeadershipClaim[], stopping: boolean): void {
+        this.#leadershipClaims = leads;
+        this.#isStopping = stopping;
     }
 
     /**
@@ -93,12 +93,12 @@
      */
     tick(now: number): EntryId[] {
         this.#counter += 1;
-        this.#updateEntry(this.#createOwnEntry(), now);
-        const others = this.#options.members.filter((m) => m !== this.#options.self);
+        this.#updateEntry(this.#createLocalEntry(), now);
+        const candidates = this.#options.members.filter((m) => m !== this.#options.self);
         const chosen: EntryId[] = [];
-        while (chosen.length < this.#options.fanout && others.length > 0) {
-            const at = Math.floor(this.#options.random() * others.length);
-            chosen.push(...others.splice(at, 1));
+        while (chosen.length < this.#options.fanout && candidates.length > 0) {
+            const index = Math.floor(this.#options.random() * candidates.length);
+            chosen.push(...candidates.splice(index, 1));
         }
         return chosen;
     }
@@ -108,8 +108,8 @@
      *
      * @returns The table.
      */
-    listTable(): GossipEntry[] {
-        return [...this.#known.values()].map((k) => k.entry);
+    listEntries(): GossipEntry[] {
+        return [...this.#knownMembers.values()].map((k) => k.entry);
     }
 
     /**
@@ -125,7 +125,7 @@
                 this.#updateEntry(entry, now);
             }
         }
-        return this.listTable();
+        return this.listEntries();
     }
 
     /**
@@ -136,14 +136,14 @@
      * @returns Up, suspected after a silence, stopping by its own word, or not heard of yet.
      */
     getStatus(id: EntryId, now: number): MemberStatus {
-        const known = this.#known.get(id);
+        const known = this.#knownMembers.get(id);
         if (id === this.#options.self) {
-            return this.#stopping ? "stopping" : "up";
+            return this.#isStopping ? "stopping" : "up";
         }
         if (known === undefined) {
             return "unknown";
         }
-        if (now - known.changedAt > this.#options.suspectMs) {
+        if (now - known.updatedAtMs > this.#options.suspectTimeoutMs) {
             return "suspected";
         }
         return known.entry.stopping ? "stopping" : "up";
@@ -157,7 +157,7 @@
      * @returns The leader, or `undefined` when nobody heard of lately says it leads.
      */
     findLeader(group: GroupId, now: number): EntryId | undefined {
-        return this.#findClaim(group, now)?.id;
+        return this.#findLeadershipClaim(group, now)?.id;
     }
 
     /**
@@ -168,39 +168,42 @@
      * @returns The cores; 0 when no leader was heard of lately.
      */
     getFreeCores(group: GroupId, now: number): number {
-        return this.#findClaim(group, now)?.claim.freeCores ?? 0;
+        return this.#findLeadershipClaim(group, now)?.claim.freeCores ?? 0;
     }
 
-    #findClaim(group: GroupId, now: number): { id: EntryId; claim: LeadClaim } | undefined {
-        let best: { id: EntryId; claim: LeadClaim } | undefined;
-        for (const [id, known] of this.#known) {
+    #findLeadershipClaim(
+        group: GroupId,
+        now: number,
+    ): { id: EntryId; claim: LeadershipClaim } | undefined {
+        let best: { id: EntryId; claim: LeadershipClaim } | undefined;
+        for (const [id, known] of this.#knownMembers) {
             const claim = known.entry.leads.find((c) => c.group === group);
-            const isHeard = now - known.changedAt <= this.#options.suspectMs;
-            if (claim !== undefined && isHeard && claim.term > (best?.claim.term ?? -1)) {
+            const isFresh = now - known.updatedAtMs <= this.#options.suspectTimeoutMs;
+            if (claim !== undefined && isFresh && claim.term > (best?.claim.term ?? -1)) {
                 best = { id, claim };
             }
         }
         return best;
     }
 
-    #createOwnEntry(): GossipEntry {
+    #createLocalEntry(): GossipEntry {
         return {
             id: this.#options.self,
             startedAt: this.#options.startedAt,
             counter: this.#counter,
-            leads: this.#leads,
-            stopping: this.#stopping,
+            leads: this.#leadershipClaims,
+            stopping: this.#isStopping,
         };
     }
 
     #updateEntry(entry: GossipEntry, now: number): void {
-        const known = this.#known.get(entry.id);
+        const known = this.#knownMembers.get(entry.id);
         const isNewer =
             known === undefined ||
             entry.startedAt > known.entry.startedAt ||
             (entry.startedAt === known.entry.startedAt && entry.counter > known.entry.counter);
         if (isNewer) {
-            this.#known.set(entry.id, { entry, changedAt: now });
+            this.#knownMembers.set(entry.id, { entry, updatedAtMs: now });
         }
     }
 }
--- a/membership/layout.ts
+++ b/membership/layout.ts
@@ -73,7 +73,7 @@
      * @param service The service asked for.
      * @returns The group.
      */
-    readonly findHome: (caller: string, service: ServiceId) => GroupLayout;
+    readonly findHomeGroup: (caller: string, service: ServiceId) => GroupLayout;
     /**
      * Finds the group that owns a zone's workers.
      *
@@ -87,13 +87,13 @@
      * @param id A request's or lease's id.
      * @returns The group, or `undefined` for an id that no group gives.
      */
-    readonly findOwner: (id: string) => GroupLayout | undefined;
+    readonly findOwnerGroup: (id: string) => GroupLayout | undefined;
 }
 
 /** The configuration group's id. */
 export const CONFIG_GROUP = "config" as GroupId;
-const ZONE_VOTERS = 3;
-const CONFIG_VOTERS = 5;
+const MAX_ZONE_VOTERS = 3;
+const MAX_CONFIG_VOTERS = 5;
 const ID_SEPARATOR = ".";
 
 /**
@@ -121,7 +121,7 @@
             quotaShare: totalCores === 0 ? 1 : cores / totalCores,
         };
     });
-    const configVoters = selectSpreadVoters(deployment);
+    const configVoters = selectConfigVoters(deployment);
     const config: GroupLayout = {
         id: CONFIG_GROUP,
         zones: [],
@@ -132,9 +132,10 @@
     return {
         config,
         groups,
-        findHome: (caller, service) => findHome(deployment, inventory, groups, caller, service),
+        findHomeGroup: (caller, service) =>
+            findHomeGroup(deployment, inventory, groups, caller, service),
         findZoneGroup: (zone) => groups.find((g) => zone !== undefined && g.zones.includes(zone)),
-        findOwner: (id) =>
+        findOwnerGroup: (id) =>
             groups.length === 1
                 ? groups[0]
                 : groups.find((g) => id.startsWith(`${g.id}${ID_SEPARATOR}`)),
@@ -171,11 +172,11 @@
 
 /** Zones named by no group get one each; members and zones missing from each other do too. */
 function listGroupSpecs(deployment: Deployment, inventory: Inventory): GroupSpec[] {
-    const named = new Set(deployment.groups.flatMap((g) => g.zones));
-    const rest = inventory.zones
-        .filter((zone) => !named.has(zone))
+    const assignedZones = new Set(deployment.groups.flatMap((g) => g.zones));
+    const defaultSpecs = inventory.zones
+        .filter((zone) => !assignedZones.has(zone))
         .map((zone) => ({ id: zone as string as GroupId, zones: [zone] }));
-    return [...deployment.groups, ...rest];
+    return [...deployment.groups, ...defaultSpecs];
 }
 
 /**
@@ -184,30 +185,30 @@
  */
 function selectZoneVoters(deployment: Deployment, spec: GroupSpec): EntryId[] {
     const withDisk = deployment.members.filter((m) => m.hasDisk);
-    const own = withDisk.filter((m) => spec.zones.includes(m.zone));
-    const others = rankByHash(
+    const localMembers = withDisk.filter((m) => spec.zones.includes(m.zone));
+    const remoteMembers = rankByHash(
         withDisk.filter((m) => !spec.zones.includes(m.zone)),
         (m) => `${spec.id}|${m.id}`,
     );
-    return [...own, ...others].slice(0, ZONE_VOTERS).map((m) => m.id);
+    return [...localMembers, ...remoteMembers].slice(0, MAX_ZONE_VOTERS).map((m) => m.id);
 }
 
 /** Chooses the configuration group's voters: an odd number, spread over the zones in turn. */
-function selectSpreadVoters(deployment: Deployment): EntryId[] {
-    const byZone = new Map<ZoneId, EntryMember[]>();
+function selectConfigVoters(deployment: Deployment): EntryId[] {
+    const membersByZone = new Map<ZoneId, EntryMember[]>();
     for (const member of deployment.members.filter((m) => m.hasDisk)) {
-        byZone.set(member.zone, [...(byZone.get(member.zone) ?? []), member]);
+        membersByZone.set(member.zone, [...(membersByZone.get(member.zone) ?? []), member]);
     }
-    const queues = [...byZone.values()];
-    const order: EntryId[] = [];
-    for (let row = 0; queues.some((q) => q.length > row); row++) {
-        order.push(...queues.flatMap((q) => q[row]?.id ?? []));
+    const zoneLists = [...membersByZone.values()];
+    const interleaved: EntryId[] = [];
+    for (let round = 0; zoneLists.some((q) => q.length > round); round++) {
+        interleaved.push(...zoneLists.flatMap((q) => q[round]?.id ?? []));
     }
-    const size = Math.min(CONFIG_VOTERS, order.length);
-    return order.slice(0, size % 2 === 0 ? Math.max(1, size - 1) : size);
+    const count = Math.min(MAX_CONFIG_VOTERS, interleaved.length);
+    return interleaved.slice(0, count % 2 === 0 ? Math.max(1, count - 1) : count);
 }
 
-function findHome(
+function findHomeGroup(
     deployment: Deployment,
     inventory: Inventory,
     groups: readonly GroupLayout[],
@@ -215,11 +216,13 @@
     service: ServiceId,
 ): GroupLayout {
     const zones = inventory.services.find((s) => s.id === service)?.zones ?? inventory.zones;
-    const serving = groups.filter((g) => g.zones.some((z) => zones.includes(z)));
-    const candidates = serving.length > 0 ? serving : groups;
-    const zone = deployment.callers.get(caller);
-    const own = candidates.find((g) => zone !== undefined && g.zones.includes(zone));
-    return own ?? (rankByHash(candidates, (g) => `${caller}|${g.id}`)[0] as GroupLayout);
+    const servingGroups = groups.filter((g) => g.zones.some((z) => zones.includes(z)));
+    const candidates = servingGroups.length > 0 ? servingGroups : groups;
+    const callerZone = deployment.callers.get(caller);
+    const localGroup = candidates.find(
+        (g) => callerZone !== undefined && g.zones.includes(callerZone),
+    );
+    return localGroup ?? (rankByHash(candidates, (g) => `${caller}|${g.id}`)[0] as GroupLayout);
 }
 
 /** Rendezvous hashing: a change of the list moves only the items that must move. */
--- a/membership/leader_router.ts
+++ b/membership/leader_router.ts
@@ -29,15 +29,15 @@
 /** Thrown when no leader answered in time. */
 export class NoLeaderError extends Error {
     /** Whether a leader may have taken the call and its answer was lost. */
-    readonly mayHaveHappened: boolean;
+    readonly mayHaveExecuted: boolean;
 
     /**
-     * @param mayHaveHappened Whether the call may have been carried out.
+     * @param mayHaveExecuted Whether the call may have been carried out.
      */
-    constructor(mayHaveHappened: boolean) {
-        super(`no leader answered${mayHaveHappened ? "; the call may have been carried out" : ""}`);
+    constructor(mayHaveExecuted: boolean) {
+        super(`no leader answered${mayHaveExecuted ? "; the call may have been carried out" : ""}`);
         this.name = "NoLeaderError";
-        this.mayHaveHappened = mayHaveHappened;
+        this.mayHaveExecuted = mayHaveExecuted;
     }
 }
 
@@ -46,7 +46,7 @@
     /** Addresses from the settings; they may be old, few or down. */
     readonly listSeeds: () => readonly string[];
     /** An instance that answers nothing for this long is given up, in ms. */
-    readonly silenceMs?: number;
+    readonly inactivityTimeoutMs?: number;
     readonly getNow?: () => number;
 }
 
@@ -55,36 +55,36 @@
     /** While no try was delivered to an instance that may lead, in ms; asked again as it waits. */
     readonly computeUndeliveredMs: () => number;
     /** Once one was, in ms; asked again as it waits. */
-    readonly computeUnsureMs: () => number;
+    readonly computeDeliveredMs: () => number;
 }
 
 /**
  * About an election timeout: longer than a commit (15 ms, 0.3 s on a slow disk), so that a silent leader
  * costs a caller little more than the election itself.
  */
-const DEFAULT_SILENCE_MS = 350;
+const DEFAULT_INACTIVITY_TIMEOUT_MS = 350;
 /** How often a call that waits looks whether its instance still answers others, in ms. */
-const SILENCE_CHECK_MS = 50;
+const INACTIVITY_CHECK_INTERVAL_MS = 50;
 /**
  * Time between two tries of all calls together while no leader is known, in ms: a tenth of an election.
  * Each call that waits trying on its own, some hundreds of them ask the instances thousands of times a
  * second while these try to elect a leader, and keep them from it.
  */
-const SEARCH_EVERY_MS = 60;
+const LEADER_SEARCH_INTERVAL_MS = 60;
 
 /** Calls to whoever leads. */
 export class LeaderRouter {
     readonly #options: LeaderRouterOptions;
-    readonly #pool: RpcClientPool;
+    readonly #clientPool: RpcClientPool;
     readonly #getNow: () => number;
-    readonly #silenceMs: number;
+    readonly #inactivityTimeoutMs: number;
     /** When each instance answered last, whatever it said. */
-    readonly #heardAt = new Map<string, number>();
-    #members: readonly string[] = [];
+    readonly #lastResponseAtMs = new Map<string, number>();
+    #knownMembers: readonly string[] = [];
     #leader: string | undefined;
-    #next = 0;
-    #nextSearchAt = Number.NEGATIVE_INFINITY;
-    readonly #waiting = new Set<() => void>();
+    #nextMemberIndex = 0;
+    #nextSearchAtMs = Number.NEGATIVE_INFINITY;
+    readonly #waiters = new Set<() => void>();
 
     /**
      * @param options Seeds and timeouts.
@@ -92,8 +92,8 @@
     constructor(options: LeaderRouterOptions) {
         this.#options = options;
         this.#getNow = options.getNow ?? (() => performance.now());
-        this.#silenceMs = options.silenceMs ?? DEFAULT_SILENCE_MS;
-        this.#pool = new RpcClientPool({ timeoutMs: this.#silenceMs });
+        this.#inactivityTimeoutMs = options.inactivityTimeoutMs ?? DEFAULT_INACTIVITY_TIMEOUT_MS;
+        this.#clientPool = new RpcClientPool({ timeoutMs: this.#inactivityTimeoutMs });
     }
 
     /** The leader's address, as far as known. */
@@ -103,7 +103,7 @@
 
     /** Addresses of control instances: those that the leader told of, then the seeds. */
     listMembers(): string[] {
-        return [...new Set([...this.#members, ...this.#options.listSeeds()])];
+        return [...new Set([...this.#knownMembers, ...this.#options.listSeeds()])];
     }
 
     /**
@@ -112,7 +112,7 @@
      * @param members Their addresses.
      */
     setMembers(members: readonly string[]): void {
-        this.#members = members;
+        this.#knownMembers = members;
     }
 
     /**
@@ -137,28 +137,28 @@
      * @throws {RpcError} When the leader refused the call.
      */
     async call<T>(method: string, params: object, budget: number | CallBudget): Promise<T> {
-        const { computeUndeliveredMs, computeUnsureMs } =
+        const { computeUndeliveredMs, computeDeliveredMs } =
             typeof budget === "number"
-                ? { computeUndeliveredMs: () => budget, computeUnsureMs: () => budget }
+                ? { computeUndeliveredMs: () => budget, computeDeliveredMs: () => budget }
                 : budget;
         const startedAt = this.#getNow();
-        let mayHaveHappened = false;
+        let mayHaveExecuted = false;
         for (;;) {
-            const budgetMs = mayHaveHappened ? computeUnsureMs() : computeUndeliveredMs();
+            const budgetMs = mayHaveExecuted ? computeDeliveredMs() : computeUndeliveredMs();
             const deadline = startedAt + budgetMs;
-            await this.#waitForTurn(deadline);
-            const target = this.#leader ?? this.#selectNext();
+            await this.#waitForSearchSlot(deadline);
+            const target = this.#leader ?? this.#selectNextMember();
             if (this.#getNow() >= deadline || target === undefined) {
-                throw new NoLeaderError(mayHaveHappened);
+                throw new NoLeaderError(mayHaveExecuted);
             }
             try {
                 // Once it is delivered the outcome is what counts, so the try may last as long.
-                const lastMs = startedAt + computeUnsureMs() - this.#getNow();
-                const answer = await this.#callOne<T>(target, method, params, lastMs);
+                const remainingMs = startedAt + computeDeliveredMs() - this.#getNow();
+                const answer = await this.#callInstance<T>(target, method, params, remainingMs);
                 this.#setLeader(target);
                 return answer;
             } catch (error) {
-                mayHaveHappened = this.#handleFailure(target, error as Error) || mayHaveHappened;
+                mayHaveExecuted = this.#handleFailure(target, error as Error) || mayHaveExecuted;
             }
         }
     }
@@ -168,29 +168,34 @@
      * answers others is waited for. Calling it again would only add to its load: with a fixed short
      * timeout each call came several times, and a leader at its limit never caught up.
      */
-    async #callOne<T>(target: string, method: string, params: object, limitMs: number): Promise<T> {
+    async #callInstance<T>(
+        target: string,
+        method: string,
+        params: object,
+        timeoutMs: number,
+    ): Promise<T> {
         const startedAt = this.#getNow();
-        const call = this.#pool
+        const call = this.#clientPool
             .getClient(target)
-            .call<T>(method, params, Math.max(1, Math.ceil(limitMs)));
+            .call<T>(method, params, Math.max(1, Math.ceil(timeoutMs)));
         let timer: NodeJS.Timeout | undefined;
-        const silence = new Promise<never>((_resolve, reject) => {
-            const check = (): void => {
-                const heardAt = Math.max(startedAt, this.#heardAt.get(target) ?? 0);
-                if (this.#getNow() - heardAt > this.#silenceMs) {
+        const inactivity = new Promise<never>((_resolve, reject) => {
+            const checkInactivity = (): void => {
+                const lastActivityAt = Math.max(startedAt, this.#lastResponseAtMs.get(target) ?? 0);
+                if (this.#getNow() - lastActivityAt > this.#inactivityTimeoutMs) {
                     reject(new RpcError(`${target} has answered nothing: timeout`, 0));
                 }
             };
             // On a busy event loop what has arrived is read before the instance counts as silent.
-            timer = setInterval(() => setImmediate(check), SILENCE_CHECK_MS);
+            timer = setInterval(() => setImmediate(checkInactivity), INACTIVITY_CHECK_INTERVAL_MS);
         });
         try {
-            const answer = await Promise.race([call, silence]);
-            this.#recordHeard(target);
+            const answer = await Promise.race([call, inactivity]);
+            this.#recordResponse(target);
             return answer;
         } catch (error) {
             if (error instanceof RpcError && error.code !== 0) {
-                this.#recordHeard(target);
+                this.#recordResponse(target);
             }
             // The call itself may still fail later; nobody waits for it any more.
             call.catch(() => {});
@@ -200,8 +205,8 @@
         }
     }
 
-    #recordHeard(target: string): void {
-        this.#heardAt.set(target, this.#getNow());
+    #recordResponse(target: string): void {
+        this.#lastResponseAtMs.set(target, this.#getNow());
     }
 
     /** @returns Whether the call may have been carried out nevertheless. */
@@ -229,39 +234,39 @@
     }
 
     /** Waits until a leader is known, or it is this call's turn to look for one. */
-    async #waitForTurn(deadline: number): Promise<void> {
+    async #waitForSearchSlot(deadline: number): Promise<void> {
         for (;;) {
             const now = this.#getNow();
             if (this.#leader !== undefined || now >= deadline) {
                 return;
             }
-            if (now >= this.#nextSearchAt) {
-                this.#nextSearchAt = now + SEARCH_EVERY_MS;
+            if (now >= this.#nextSearchAtMs) {
+                this.#nextSearchAtMs = now + LEADER_SEARCH_INTERVAL_MS;
                 return;
             }
-            await this.#waitForWake(Math.min(this.#nextSearchAt, deadline) - now);
+            await this.#waitForLeader(Math.min(this.#nextSearchAtMs, deadline) - now);
         }
     }
 
-    #waitForWake(ms: number): Promise<void> {
+    #waitForLeader(timeoutMs: number): Promise<void> {
         return new Promise((resolve) => {
             const finish = (): void => {
                 clearTimeout(timer);
-                this.#waiting.delete(finish);
+                this.#waiters.delete(finish);
                 resolve();
             };
-            const timer = setTimeout(finish, Math.max(1, ms));
-            this.#waiting.add(finish);
+            const timer = setTimeout(finish, Math.max(1, timeoutMs));
+            this.#waiters.add(finish);
         });
     }
 
     #setLeader(leader: string): void {
         this.#leader = leader;
-        [...this.#waiting].forEach((wake) => wake());
+        [...this.#waiters].forEach((wake) => wake());
     }
 
-    #selectNext(): string | undefined {
+    #selectNextMember(): string | undefined {
         const members = this.listMembers();
-        return members[this.#next++ % Math.max(1, members.length)];
+        return members[this.#nextMemberIndex++ % Math.max(1, members.length)];
     }
 }
--- a/membership/leader_router_test.ts
+++ b/membership/leader_router_test.ts
@@ -11,7 +11,7 @@
 }
 
 /** A server that takes connections and answers nothing, as a suspended process does. */
-async function startSilent(t: ExecutionContext): Promise<string> {
+async function startUnresponsiveServer(t: ExecutionContext): Promise<string> {
     const server: Server = createServer(() => {});
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
     t.teardown(() => server.close());
@@ -29,54 +29,59 @@
 });
 
 test("a silent member is given up for another, and the call's outcome is unsure", async (t) => {
-    const silent = await startSilent(t);
+    const unresponsive = await startUnresponsiveServer(t);
     const leader = await startMember(t, () => "yes");
     const router = new LeaderRouter({
-        listSeeds: () => [silent, leader.address],
-        silenceMs: 100,
+        listSeeds: () => [unresponsive, leader.address],
+        inactivityTimeoutMs: 100,
     });
     t.is(await router.call("x", {}, 2_000), "yes");
-    const alone = new LeaderRouter({ listSeeds: () => [silent], silenceMs: 100 });
-    const error = await t.throwsAsync(alone.call("x", {}, 500), { instanceOf: NoLeaderError });
-    t.true(error.mayHaveHappened);
+    const unresponsiveOnly = new LeaderRouter({
+        listSeeds: () => [unresponsive],
+        inactivityTimeoutMs: 100,
+    });
+    const error = await t.throwsAsync(unresponsiveOnly.call("x", {}, 500), {
+        instanceOf: NoLeaderError,
+    });
+    t.true(error.mayHaveExecuted);
     t.regex(error.message, /may have been/);
 });
 
 test("a call that no member took is known not to have happened", async (t) => {
     const router = new LeaderRouter({ listSeeds: () => ["127.0.0.1:1"] });
     const error = await t.throwsAsync(router.call("x", {}, 300), { instanceOf: NoLeaderError });
-    t.false(error.mayHaveHappened);
+    t.false(error.mayHaveExecuted);
 });
 
 test("calls that wait for a leader look for it together", async (t) => {
     // Hundreds of callers wait at a front while all control instances elect. Each call asking on its own
     // keeps the instances busy with saying that they do not lead, and the election fails for want of time.
-    let asked = 0;
-    let leads = false;
+    let callCount = 0;
+    let isLeader = false;
     const member = await startMember(t, () => {
-        asked += 1;
-        if (!leads) {
+        callCount += 1;
+        if (!isLeader) {
             throw new MethodError("no", NOT_LEADER_CODE, { leader: undefined });
         }
         return "yes";
     });
     const router = new LeaderRouter({ listSeeds: () => [member.address] });
-    const calls = Array.from({ length: 100 }, () => router.call("x", {}, 3_000));
+    const pendingCalls = Array.from({ length: 100 }, () => router.call("x", {}, 3_000));
     await new Promise((resolve) => setTimeout(resolve, 600));
-    t.true(asked <= 20, `asked ${asked} times`);
-    leads = true;
-    t.true((await Promise.all(calls)).every((answer) => answer === "yes"));
-    t.true(asked <= 140, `asked ${asked} times`);
+    t.true(callCount <= 20, `asked ${callCount} times`);
+    isLeader = true;
+    t.true((await Promise.all(pendingCalls)).every((answer) => answer === "yes"));
+    t.true(callCount <= 140, `asked ${callCount} times`);
 });
 
 test("a busy leader that answers others is not asked again", async (t) => {
     // Callers see one slow answer each. With a fixed timeout per try every slow call would come
     // several times, and a leader at its limit would get several times the load.
-    let calls = 0;
+    let callCount = 0;
     const leader = await startRpcServer({
         methods: {
             slow: async () => {
-                calls += 1;
+                callCount += 1;
                 await new Promise((resolve) => setTimeout(resolve, 600));
                 return "slow";
             },
@@ -84,10 +89,13 @@
         },
     });
     t.teardown(() => leader.close());
-    const router = new LeaderRouter({ listSeeds: () => [leader.address], silenceMs: 150 });
+    const router = new LeaderRouter({
+        listSeeds: () => [leader.address],
+        inactivityTimeoutMs: 150,
+    });
     const slow = router.call("slow", {}, 2_000);
     const others = setInterval(() => void router.call("quick", {}, 500), 50);
     t.is(await slow, "slow");
     clearInterval(others);
-    t.is(calls, 1);
+    t.is(callCount, 1);
 });
--- a/membership/voter_plan.ts
+++ b/membership/voter_plan.ts
@@ -19,7 +19,7 @@
     /** Instances heard from lately, with their availability zones. */
     readonly live: ReadonlyMap<EntryId, string>;
     /** How many should vote. */
-    readonly target: number;
+    readonly targetSize: number;
 }
 
 /**
@@ -31,18 +31,18 @@
  * @returns The instances that should vote.
  */
 export function planVoters(input: VoterPlanInput): EntryId[] {
-    const wanted = dropSurplus(input.current, input);
-    const candidates = [...input.live.keys()].filter((id) => !wanted.includes(id)).sort();
-    while (wanted.length < input.target && candidates.length > 0) {
-        wanted.push(takeRarest(candidates, wanted, input.live));
+    const planned = dropSurplusVoters(input.current, input);
+    const candidates = [...input.live.keys()].filter((id) => !planned.includes(id)).sort();
+    while (planned.length < input.targetSize && candidates.length > 0) {
+        planned.push(takeFromEmptiestZone(candidates, planned, input.live));
     }
-    for (const [i, id] of wanted.entries()) {
+    for (const [i, id] of planned.entries()) {
         if (!input.live.has(id) && candidates.length > 0) {
-            const rest = wanted.filter((other) => other !== id);
-            wanted[i] = takeRarest(candidates, rest, input.live);
+            const otherVoters = planned.filter((other) => other !== id);
+            planned[i] = takeFromEmptiestZone(candidates, otherVoters, input.live);
         }
     }
-    return wanted;
+    return planned;
 }
 
 /**
@@ -51,10 +51,10 @@
  * chosen: a voter whose replacement votes already would get a second and a third one until it is removed,
  * and each of them is one more that has to agree (seven voters for five, seen on a large floor).
  */
-function dropSurplus(wanted: readonly EntryId[], input: VoterPlanInput): EntryId[] {
-    const kept = [...wanted];
-    for (const id of wanted) {
-        if (kept.length > input.target && !input.live.has(id)) {
+function dropSurplusVoters(voters: readonly EntryId[], input: VoterPlanInput): EntryId[] {
+    const kept = [...voters];
+    for (const id of voters) {
+        if (kept.length > input.targetSize && !input.live.has(id)) {
             kept.splice(kept.indexOf(id), 1);
         }
     }
@@ -62,13 +62,13 @@
 }
 
 /** Takes the candidate whose zone has the fewest voters. */
-function takeRarest(
+function takeFromEmptiestZone(
     candidates: EntryId[],
     voters: readonly EntryId[],
     zones: ReadonlyMap<EntryId, string>,
 ): EntryId {
-    const countZone = (id: EntryId) =>
+    const countZoneVoters = (id: EntryId) =>
         voters.filter((voter) => zones.get(voter) === zones.get(id)).length;
-    candidates.sort((a, b) => countZone(a) - countZone(b) || (a < b ? -1 : 1));
+    candidates.sort((a, b) => countZoneVoters(a) - countZoneVoters(b) || (a < b ? -1 : 1));
     return candidates.shift() as EntryId;
 }
