--- a/group/group_member.ts
+++ b/group/group_member.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry instance does as a member of any group: keep a replica, ask the leader for the
- * log when it does not vote, and, while it leads, bring the voters in line with the layout.
+ * Runs an instance's replica of a group: subscribes to the leader's log as a learner, and
+ * reconciles the voters with the configured layout as leader.
  *
  * @example
  * ```ts
@@ -37,9 +37,9 @@
     readonly network: PeerNetwork;
     readonly dataDir: string | undefined;
     readonly timings: ConsensusTimings;
-    /** Instances to ask for the log; those that should vote by default. */
+    /** Returns the instances to ask for a log subscription; the configured voters by default. */
     readonly listPeers?: () => readonly EntryId[];
-    /** When this process started, in ms on the monotonic clock, if known. */
+    /** Start time of this process on the monotonic clock, in ms, if known. */
     readonly startedAt?: number;
     readonly batchWindowMs?: number;
     readonly snapshotEvery?: number;
@@ -48,12 +48,12 @@
 }
 
 const MAINTENANCE_INTERVAL_MS = 500;
-/** A member whose election is not won for this long says so, and again as often, in ms: some elections. */
+/** Interval between warnings about an election that has not been won, in ms. */
 const ELECTION_WARNING_INTERVAL_MS = 2_000;
-/** A learner that has not answered for this long is no longer sent the log. */
+/** Time without an acknowledgement after which the leader removes a learner, in ms. */
 const LEARNER_TIMEOUT_MS = 10_000;
 
-/** One entry instance's part in one group. */
+/** Membership of an entry instance in a group. */
 export class GroupMember<C, R> {
     readonly #options: GroupMemberOptions<C, R>;
     readonly #replica: Replica<C, R>;
@@ -61,11 +61,11 @@
     #maintenance: Subscription | undefined;
     #nextPeerIndex = 0;
     #warningIntervalStartMs: number | undefined;
-    /** The last time a leader sent something, in ms on the monotonic clock. */
+    /** Time of the last message from a leader on the monotonic clock, in ms. */
     #lastLeaderContactMs = Number.NEGATIVE_INFINITY;
 
     /**
-     * @param options The group, identity, state machine; see {@link GroupMemberOptions}.
+     * @param options Group, identity, state machine and network; see {@link GroupMemberOptions}.
      */
     constructor(options: GroupMemberOptions<C, R>) {
         this.#options = options;
@@ -96,7 +96,7 @@
         });
     }
 
-    /** Starts the replica and the upkeep of the membership. */
+    /** Starts the replica and the periodic maintenance of its membership. */
     start(): void {
         this.#replica.start();
         this.#maintenance = interval(MAINTENANCE_INTERVAL_MS).subscribe(() =>
@@ -105,7 +105,7 @@
         this.#runMaintenance();
     }
 
-    /** Hands the lead over, if this instance leads, and stops both. */
+    /** Transfers leadership if this instance leads, and stops the replica and its maintenance. */
     async stop(): Promise<void> {
         this.#maintenance?.unsubscribe();
         if (this.#replica.role === "leader" && this.#replica.voters.length > 1) {
@@ -114,12 +114,12 @@
         await this.#replica.stop();
     }
 
-    /** The replica. */
+    /** This instance's replica of the group. */
     get replica(): Replica<C, R> {
         return this.#replica;
     }
 
-    /** Whether this instance leads the group and nobody else can. */
+    /** Whether this instance leads the group and holds the leader lease. */
     get isServing(): boolean {
         return this.#replica.isServing;
     }
@@ -129,24 +129,24 @@
         return this.#replica.waitServing();
     }
 
-    /** When a leader last sent something, in ms on the monotonic clock. */
+    /** Time of the last message from a leader on the monotonic clock, in ms. */
     get lastLeaderContactMs(): number {
         return this.#lastLeaderContactMs;
     }
 
-    /** The leader's entry instance, as far as this replica knows. */
+    /** Entry instance of the leader, if this replica knows it. */
     get leader(): EntryId | undefined {
         const { leader } = this.#replica;
         return leader === undefined ? undefined : parseEntryId(leader);
     }
 
     /**
-     * Takes a message of the group.
+     * Handles a consensus message of the group.
      *
-     * @param from The sender.
-     * @param to The member it is for.
+     * @param from The sending member.
+     * @param to The receiving member.
      * @param message The message.
-     * @returns The response; `null` when the message was for an earlier incarnation.
+     * @returns The response, or `null` if there is none or the message is for another incarnation.
      */
     async receive(
         from: MemberId,
@@ -163,10 +163,10 @@
     }
 
     /**
-     * Starts sending the log to a member that asks for it.
+     * Adds a learner if this instance leads, replacing other incarnations of the same instance.
      *
-     * @param member The member.
-     * @returns The leader, for a member that asked the wrong instance.
+     * @param member The member that subscribes to the log.
+     * @returns The known leader, to which a member that asked a follower is redirected.
      */
     addLearner(member: MemberId): { readonly leader: EntryId | undefined } {
         if (this.#replica.role === "leader") {
@@ -191,7 +191,7 @@
         this.#reportElection(performance.now());
     }
 
-    /** Tells which voters an election lacks: a group that has lost its quorum shows nothing else. */
+    /** Logs the missing votes of a long election, the only visible sign of a lost quorum. */
     #reportElection(now: number): void {
         const { campaign, term } = this.#replica;
         if (campaign === undefined) {
@@ -207,9 +207,8 @@
     }
 
     /**
-     * Brings the voters in line with the layout, one member at a time: first a caught-up member
-     * that should vote is added, then a voter that should not (an earlier incarnation, or an
-     * instance that the settings no longer name) is removed.
+     * Reconciles the voters with the layout, one membership change at a time. Caught-up learners
+     * are added before obsolete voters are removed.
      */
     #updateVoters(): void {
         const { voters } = this.#replica;
@@ -242,9 +241,9 @@
     }
 
     /**
-     * A voter goes when a newer incarnation of its instance votes, or when its instance should
-     * not vote at all and every one that should does: removing first would leave the group with
-     * less to lose while it changes.
+     * Returns whether a newer incarnation of the voter's instance votes, or its instance is not
+     * configured to vote. The latter waits until all configured voters vote, so that the group
+     * keeps its fault tolerance during the change.
      */
     #isObsoleteVoter(voter: MemberId, voters: readonly MemberId[]): boolean {
         const configuredVoters = this.#options.group.voters;
@@ -271,7 +270,7 @@
         }
     }
 
-    /** Asks one voter after another for the log, until a leader sends it. */
+    /** Asks the peers in turn for a log subscription while no leader sends messages. */
     async #sendSubscribe(): Promise<void> {
         const sinceLeaderContactMs = performance.now() - this.#lastLeaderContactMs;
         if (sinceLeaderContactMs < 4 * this.#options.timings.heartbeatMs) {
--- a/group/leader_clock.ts
+++ b/group/leader_clock.ts
@@ -1,14 +1,14 @@
 /**
- * The time that a group's leader puts on inputs. It goes on from the newest time in the group's
- * log, whatever the machine's time of day does: a step of the clock, or a leader on a machine
- * whose clock is behind, must neither expire every lease at once nor keep dead ones alive.
+ * Monotonic clock for the timestamps that a group's leader puts on commands. It continues from the
+ * newest timestamp in the log, so that wall clock steps and a leader with a slow clock neither
+ * expire all leases at once nor keep expired ones valid.
  *
  * @example
  * ```ts
  * import { LeaderClock } from "./leader_clock.ts";
  * const clock = new LeaderClock();
  * clock.start(cell.lastAt);
- * const at = clock.getNow();
+ * const nowMs = clock.getNow();
  * ```
  *
  * @module
@@ -16,20 +16,20 @@
 
 /** Options of {@link LeaderClock}. */
 export interface LeaderClockOptions {
-    /** A clock that never goes back, in ms. */
+    /** Returns the monotonic time in ms. */
     readonly getMonotonicMs?: () => number;
-    /** The time of day, in ms since the epoch. */
+    /** Returns the wall clock time in ms since the Unix epoch. */
     readonly getWallTimeMs?: () => number;
 }
 
-/** A leader's clock. */
+/** Monotonic clock of a group's leader. */
 export class LeaderClock {
     readonly #getMonotonicMs: () => number;
     readonly #getWallTimeMs: () => number;
     #offsetMs = 0;
 
     /**
-     * @param options Time sources, for tests.
+     * @param options Time sources; the system clocks by default.
      */
     constructor(options: LeaderClockOptions = {}) {
         this.#getMonotonicMs = options.getMonotonicMs ?? (() => performance.now());
@@ -37,18 +37,18 @@
     }
 
     /**
-     * Starts the clock of a new leader.
+     * Starts the clock when this member becomes leader.
      *
-     * @param lastLogTimeMs The newest time in the group's log, in ms.
+     * @param lastLogTimeMs The newest timestamp in the group's log, in ms since the Unix epoch.
      */
     start(lastLogTimeMs: number): void {
         this.#offsetMs = Math.max(this.#getWallTimeMs(), lastLogTimeMs) - this.#getMonotonicMs();
     }
 
     /**
-     * Gives the time.
+     * Returns the current time.
      *
-     * @returns Whole ms.
+     * @returns The time in whole ms since the Unix epoch.
      */
     getNow(): number {
         return Math.round(this.#offsetMs + this.#getMonotonicMs());
--- a/group/mod.ts
+++ b/group/mod.ts
@@ -1,6 +1,5 @@
 /**
- * What any member of a replicated group needs beside the log: its part in the group, the network to
- * the other members, the clock that a leader puts on inputs.
+ * Membership, transport and leader clock of replicated groups, on top of the consensus log.
  *
  * @example
  * ```ts
--- a/group/peer_network.ts
+++ b/group/peer_network.ts
@@ -1,7 +1,6 @@
 /**
- * Carries the groups' messages between entry instances over JSON-RPC. A request and its response
- * are one HTTP call; per member and group one call is under way at a time, and a newer append
- * replaces one that still waits, because it carries the same entries and more.
+ * Transports consensus messages between entry instances over JSON-RPC. Each member has at most one
+ * call in flight per group, and a newer append supersedes a queued one.
  *
  * @example
  * ```ts
@@ -17,16 +16,16 @@
 import { parseEntryId, type EntryId } from "../membership/mod.ts";
 import { RpcClientPool, type ByteCounts, type RpcClient } from "../rpc/mod.ts";
 
-/** A group's message on the wire. */
+/** Consensus message with its routing fields, as sent over the network. */
 export interface PeerEnvelope {
     readonly group: GroupId;
     readonly from: MemberId;
-    /** The incarnation it is for: a message for an earlier one must not reach its successor. */
+    /** The receiving incarnation; a later incarnation of the instance ignores the message. */
     readonly to: MemberId;
     readonly message: GroupMessage;
 }
 
-/** The replica that a transport works for. */
+/** Replica that receives the responses and delivery failures of a transport. */
 export interface MessageReceiver {
     readonly receive: (from: MemberId, message: GroupMessage) => Promise<GroupMessage | undefined>;
     readonly handleUndelivered: (member: MemberId) => void;
@@ -34,11 +33,11 @@
 
 /** Options of {@link PeerNetwork}. */
 export interface PeerNetworkOptions {
-    /** Gives an instance's `host:port`, or `undefined` when it is not known. */
+    /** Returns an instance's `host:port`, or `undefined` if it is unknown. */
     readonly findAddress: (id: EntryId) => string | undefined;
-    /** How long a message may take, in ms. */
+    /** Timeout of a message other than a snapshot, in ms. */
     readonly timeoutMs?: number;
-    /** How long a snapshot may take, in ms. */
+    /** Timeout of a snapshot, in ms. */
     readonly snapshotTimeoutMs?: number;
 }
 
@@ -50,7 +49,7 @@
 const DEFAULT_TIMEOUT_MS = 1_000;
 const DEFAULT_SNAPSHOT_TIMEOUT_MS = 10_000;
 
-/** Connections to the other entry instances. */
+/** Manages the RPC clients and the message queues for the other entry instances. */
 export class PeerNetwork {
     readonly #options: PeerNetworkOptions;
     readonly #clients: RpcClientPool;
@@ -58,7 +57,7 @@
     #isClosed = false;
 
     /**
-     * @param options The members' addresses, timeouts.
+     * @param options Address lookup and timeouts.
      */
     constructor(options: PeerNetworkOptions) {
         this.#options = options;
@@ -66,32 +65,32 @@
     }
 
     /**
-     * Gives the client of an entry instance.
+     * Returns the RPC client for an entry instance.
      *
      * @param id The entry instance.
-     * @returns Its client, or `undefined` when its address is not known.
+     * @returns The client, or `undefined` if the instance's address is unknown.
      */
     getClient(id: EntryId): RpcClient | undefined {
         const address = this.#options.findAddress(id);
         return address === undefined ? undefined : this.#clients.getClient(address);
     }
 
-    /** Bytes sent to and received from the other entry instances. */
+    /** Number of bytes sent to and received from the other entry instances. */
     get bytes(): ByteCounts {
         return this.#clients.bytes;
     }
 
-    /** Sends nothing from now on. */
+    /** Stops sending messages, including queued ones. */
     close(): void {
         this.#isClosed = true;
     }
 
     /**
-     * Creates the transport of one group's member.
+     * Creates the transport of a group member.
      *
      * @param group The group.
-     * @param self The member.
-     * @param getReceiver Gives the replica that takes responses.
+     * @param self The sending member.
+     * @param getReceiver Returns the replica that receives the responses.
      * @returns The transport.
      */
     createTransport(group: GroupId, self: MemberId, getReceiver: () => MessageReceiver): Transport {
--- a/membership/gossip.ts
+++ b/membership/gossip.ts
@@ -1,15 +1,13 @@
 /**
- * Who of the entry instances is up, and which of them leads which group: each instance counts a
- * heartbeat, and pairs of instances exchange all counters they know. An instance whose counter
- * stands still is suspected. The cost per instance does not grow with the number of instances
- * beyond the size of the table.
+ * Gossip-based failure detection and leader discovery. Instances exchange tables of heartbeat
+ * counters with random peers, and suspect an instance whose counter stops increasing.
  *
  * @example
  * ```ts
  * import { Gossip } from "./gossip.ts";
  * const gossip = new Gossip({ self, members, random: Math.random });
  * const peers = gossip.tick(now);
- * const answer = gossip.receive(table, now);
+ * const response = gossip.receive(table, now);
  * ```
  *
  * @module
@@ -18,23 +16,23 @@
 import type { GroupId } from "../log/mod.ts";
 import type { EntryId } from "./layout.ts";
 
-/** What a leader says of a group it leads. */
+/** Leadership of a group, as announced by its leader. */
 export interface LeadershipClaim {
     readonly group: GroupId;
     readonly term: number;
-    /** Cores free for new work; 0 while its own work waits. */
+    /** Cores available to new work; 0 while the group has queued work. */
     readonly freeCores: number;
 }
 
-/** What instances tell each other about one of them. */
+/** Gossiped state of an instance. */
 export interface GossipEntry {
     readonly id: EntryId;
-    /** When the instance started, so that a restarted one's low counter is not taken as old. */
+    /** Start time in ms since the Unix epoch; orders the counters of successive processes. */
     readonly startedAt: number;
     readonly counter: number;
-    /** Groups it leads. */
+    /** Groups that the instance leads. */
     readonly leads: readonly LeadershipClaim[];
-    /** It is shutting down: send it nothing new. */
+    /** Whether the instance is shutting down and accepts no new work. */
     readonly stopping: boolean;
 }
 
@@ -42,16 +40,16 @@
 export interface GossipOptions {
     readonly self: EntryId;
     readonly members: readonly EntryId[];
-    /** When this process started, in ms since the epoch. */
+    /** Start time of this process in ms since the Unix epoch. */
     readonly startedAt: number;
     readonly random: () => number;
-    /** How many others it exchanges with in one round. */
+    /** Number of peers contacted per round. */
     readonly fanout?: number;
-    /** Silence after which an instance is suspected, in ms. */
+    /** Time without a newer heartbeat after which an instance is suspected, in ms. */
     readonly suspectTimeoutMs?: number;
 }
 
-/** An instance's state as this one sees it. */
+/** Status of an instance according to the local failure detector. */
 export type MemberStatus = "up" | "suspected" | "unknown" | "stopping";
 
 interface KnownMember {
@@ -59,7 +57,7 @@
     updatedAtMs: number;
 }
 
-/** The failure detector and leader directory of one instance. */
+/** Failure detector and leader directory of an instance. */
 export class Gossip {
     readonly #options: Required<GossipOptions>;
     readonly #knownMembers = new Map<EntryId, KnownMember>();
@@ -68,17 +66,17 @@
     #isStopping = false;
 
     /**
-     * @param options Who takes part; see {@link GossipOptions}.
+     * @param options Members and timing; see {@link GossipOptions}.
      */
     constructor(options: GossipOptions) {
         this.#options = { fanout: 2, suspectTimeoutMs: 3_000, ...options };
     }
 
     /**
-     * Sets what this instance tells of itself.
+     * Sets the state that this instance announces.
      *
-     * @param leads Groups it leads.
-     * @param stopping Whether it is shutting down.
+     * @param leads The groups that this instance leads.
+     * @param stopping Whether this instance is shutting down.
      */
     setLocalState(leads: readonly LeadershipClaim[], stopping: boolean): void {
         this.#leadershipClaims = leads;
@@ -86,10 +84,10 @@
     }
 
     /**
-     * Counts a heartbeat and chooses whom to exchange with.
+     * Increments the heartbeat counter and selects random peers for a gossip round.
      *
      * @param now The time in ms.
-     * @returns The chosen instances.
+     * @returns The selected peers.
      */
     tick(now: number): EntryId[] {
         this.#counter += 1;
@@ -104,20 +102,20 @@
     }
 
     /**
-     * Lists all that is known, for an exchange.
+     * Lists the newest known entry of each instance.
      *
-     * @returns The table.
+     * @returns The entries to send to a peer.
      */
     listEntries(): GossipEntry[] {
         return [...this.#knownMembers.values()].map((k) => k.entry);
     }
 
     /**
-     * Takes another instance's table.
+     * Merges a peer's table into the local one, keeping the newer entry of each instance.
      *
-     * @param table The table.
+     * @param table The peer's entries.
      * @param now The time in ms.
-     * @returns This instance's table, for the other.
+     * @returns The merged entries, as the response to the peer.
      */
     receive(table: readonly GossipEntry[], now: number): GossipEntry[] {
         for (const entry of table) {
@@ -129,11 +127,11 @@
     }
 
     /**
-     * Gives an instance's state.
+     * Returns the status of an instance.
      *
      * @param id The instance.
      * @param now The time in ms.
-     * @returns Up, suspected after a silence, stopping by its own word, or not heard of yet.
+     * @returns `unknown` if no entry of the instance has been received, else its status.
      */
     getStatus(id: EntryId, now: number): MemberStatus {
         const known = this.#knownMembers.get(id);
@@ -150,22 +148,22 @@
     }
 
     /**
-     * Finds who leads a group: of those that say so, the one with the highest term.
+     * Finds the leader of a group: the unsuspected instance that claims it with the highest term.
      *
      * @param group The group.
      * @param now The time in ms.
-     * @returns The leader, or `undefined` when nobody heard of lately says it leads.
+     * @returns The leader, or `undefined` if no unsuspected instance claims leadership.
      */
     findLeader(group: GroupId, now: number): EntryId | undefined {
         return this.#findLeadershipClaim(group, now)?.id;
     }
 
     /**
-     * Gives the free cores that a group's leader told of last.
+     * Returns the free cores that a group's leader last announced.
      *
      * @param group The group.
      * @param now The time in ms.
-     * @returns The cores; 0 when no leader was heard of lately.
+     * @returns The number of cores; 0 if no leader is known.
      */
     getFreeCores(group: GroupId, now: number): number {
         return this.#findLeadershipClaim(group, now)?.claim.freeCores ?? 0;
--- a/membership/identity.ts
+++ b/membership/identity.ts
@@ -1,7 +1,6 @@
 /**
- * An entry instance's identity in its groups: its id and the incarnation of its data folder. An
- * instance whose disk was replaced gets a new incarnation, so the group treats it as another
- * member: the one that voted and acknowledged before cannot be mistaken for one that forgot.
+ * Member identity in replicated groups: the instance id and the incarnation of its data directory.
+ * An instance that lost its disk joins as a new member, so that lost votes cannot be cast again.
  *
  * @example
  * ```ts
@@ -19,21 +18,21 @@
 import type { EntryId } from "./layout.ts";
 
 const IDENTITY_FILE = "identity.json";
-/** The incarnation that every member has when the cell starts for the first time. */
+/** Incarnation of every member when the cluster is bootstrapped. */
 const FIRST_INCARNATION = "0";
 
 /** Options of {@link loadIncarnation}. */
 export interface IncarnationOptions {
-    /** The data folder; without one, every start is a new incarnation. */
+    /** Data directory; without one, every start outside a bootstrap is a new incarnation. */
     readonly dataDir: string | undefined;
-    /** The whole cell starts for the first time, with empty disks. */
+    /** Whether the whole cluster starts for the first time, with empty disks. */
     readonly bootstrap: boolean;
 }
 
 /**
- * Reads the incarnation of a data folder, or gives an empty folder one and makes it durable.
+ * Reads the incarnation stored in a data directory, or creates and persists one.
  *
- * @param options The folder and whether the cell starts for the first time.
+ * @param options Data directory and bootstrap flag.
  * @returns The incarnation.
  */
 export function loadIncarnation(options: IncarnationOptions): string {
@@ -50,10 +49,10 @@
 }
 
 /**
- * Gives a member's name in its groups.
+ * Creates the id of a group member.
  *
  * @param id The entry instance.
- * @param incarnation Its incarnation; the first one by default.
+ * @param incarnation The incarnation; that of a bootstrapped cluster by default.
  * @returns The member's id.
  */
 export function createMemberId(id: EntryId, incarnation = FIRST_INCARNATION): MemberId {
@@ -61,9 +60,9 @@
 }
 
 /**
- * Gives the entry instance that a member is an incarnation of.
+ * Parses the entry instance out of a member id.
  *
- * @param member The member.
+ * @param member The member id.
  * @returns The entry instance.
  */
 export function parseEntryId(member: MemberId): EntryId {
--- a/membership/layout.ts
+++ b/membership/layout.ts
@@ -1,13 +1,12 @@
 /**
- * How a cell's work is divided: which group owns a zone's workers, which entry instances vote in
- * it, which keep a replica, and at which zone a caller's requests are at home. All of it follows
- * from the deployment and the inventory, so every instance computes the same.
+ * Assigns zones and callers to replicated groups, and voters and learners to each group. The layout
+ * is a deterministic function of deployment and inventory, so that all instances agree on it.
  *
  * @example
  * ```ts
  * import { createLayout } from "./layout.ts";
  * const layout = createLayout(deployment, inventory);
- * const group = layout.findHome("console-1", service);
+ * const group = layout.findHomeGroup("console-1", service);
  * ```
  *
  * @module
@@ -17,89 +16,89 @@
 import type { Brand, Inventory, ServiceId, ZoneId } from "../inventory/mod.ts";
 import type { ConsensusTimings, GroupId } from "../log/mod.ts";
 
-/** An entry instance of the cell. */
+/** Id of an entry instance of the cluster. */
 export type EntryId = Brand<string, "EntryId">;
 
-/** One entry instance, as the settings name it. */
+/** Entry instance, as configured in the settings. */
 export interface EntryMember {
     readonly id: EntryId;
     readonly zone: ZoneId;
-    /** `host:port` that the other entry instances reach it by. */
+    /** `host:port` at which the other entry instances reach it. */
     readonly address: string;
-    /** Without a disk it keeps replicas for reading but never votes. */
+    /** Whether it has durable storage; an instance without it is never selected as voter. */
     readonly hasDisk: boolean;
 }
 
-/** A group as the settings may override it. */
+/** Group, as configured in the settings. */
 export interface GroupSpec {
     readonly id: GroupId;
     readonly zones: readonly ZoneId[];
     readonly voters?: readonly EntryId[];
 }
 
-/** The entry instances of a cell. */
+/** Entry instances and groups of a cluster, as configured in the settings. */
 export interface Deployment {
     readonly members: readonly EntryMember[];
-    /** Overrides; zones that no group names get a group each. */
+    /** Configured groups; every zone that is in none gets a group of its own. */
     readonly groups: readonly GroupSpec[];
-    /** Where callers are at home; others are spread over the zones. */
+    /** Home zones by caller; other callers are distributed over the groups by hash. */
     readonly callers: ReadonlyMap<string, ZoneId>;
     readonly timings: ConsensusTimings;
 }
 
-/** One group of the layout. */
+/** Group of the layout. */
 export interface GroupLayout {
     readonly id: GroupId;
-    /** The zones whose workers it owns; none for the configuration group. */
+    /** Zones whose workers it owns; none for the configuration group. */
     readonly zones: readonly ZoneId[];
     readonly voters: readonly EntryId[];
-    /** Members that keep a replica without voting. */
+    /** Instances that replicate the log without voting. */
     readonly learners: readonly EntryId[];
-    /** The part of every customer's quota that it may give out. */
+    /** Fraction of each customer's quota that the group may grant, from 0 to 1. */
     readonly quotaShare: number;
 }
 
-/** The division of a cell's work. */
+/** Assignment of zones, callers and requests to groups. */
 export interface Layout {
-    /** Orders the rules; every entry instance keeps a replica of it. */
+    /** Configuration group, which replicates the rules to every entry instance. */
     readonly config: GroupLayout;
-    /** Own workers, leases and requests. */
+    /** Groups that own workers, leases and requests. */
     readonly groups: readonly GroupLayout[];
     /**
-     * Finds the group that a caller's requests for a service belong to. The same caller always
-     * gets the same group, so one group alone decides whether a key was seen before.
+     * Finds the home group of a caller's requests for a service. It is the same for all of these
+     * requests, so that one group deduplicates their idempotency keys.
      *
      * @param caller The caller.
-     * @param service The service asked for.
-     * @returns The group.
+     * @param service The requested service.
+     * @returns The home group.
      */
     readonly findHomeGroup: (caller: string, service: ServiceId) => GroupLayout;
     /**
      * Finds the group that owns a zone's workers.
      *
      * @param zone The zone.
-     * @returns The group, or `undefined` for no or an unknown zone.
+     * @returns The group, or `undefined` if the zone is undefined or unknown.
      */
     readonly findZoneGroup: (zone: ZoneId | undefined) => GroupLayout | undefined;
     /**
-     * Finds the group that accepted a request.
+     * Finds the group that owns a request or lease.
      *
-     * @param id A request's or lease's id.
-     * @returns The group, or `undefined` for an id that no group gives.
+     * @param id The id of a request or lease.
+     * @returns The group, or `undefined` if the id has no group's prefix.
      */
     readonly findOwnerGroup: (id: string) => GroupLayout | undefined;
 }
 
-/** The configuration group's id. */
+/** Id of the configuration group. */
 export const CONFIG_GROUP = "config" as GroupId;
 const MAX_ZONE_VOTERS = 3;
 const MAX_CONFIG_VOTERS = 5;
 const ID_SEPARATOR = ".";
 
 /**
- * Computes the layout.
+ * Computes the layout of a cluster.
  *
- * @param deployment The entry instances.
+ * @param deployment The configured entry instances and groups.
  * @param inventory The zones, services and instances.
  * @returns The layout.
  */
@@ -143,22 +142,22 @@
 }
 
 /**
- * Gives what a group puts before its ids, so that any entry instance can tell whose they are.
+ * Creates the prefix of a group's request and lease ids, by which instances find the owner.
  *
  * @param layout The layout.
  * @param group The group.
- * @returns The prefix; empty when one group owns everything.
+ * @returns The prefix; empty in a cluster with a single group.
  */
 export function createIdPrefix(layout: Layout, group: GroupLayout): string {
     return layout.groups.length === 1 ? "" : `${group.id}${ID_SEPARATOR}`;
 }
 
 /**
- * Gives the inventory of one group: its zones' instances and their executors.
+ * Creates the inventory of a group, limited to the instances and executors of its zones.
  *
  * @param inventory The whole inventory.
  * @param group The group.
- * @returns Its part.
+ * @returns The group's inventory.
  */
 export function createGroupInventory(inventory: Inventory, group: GroupLayout): Inventory {
     const instances = inventory.instances.filter((i) => group.zones.includes(i.zone));
@@ -170,7 +169,7 @@
     };
 }
 
-/** Zones named by no group get one each; members and zones missing from each other do too. */
+/** Lists the configured groups and a default group for each remaining zone. */
 function listGroupSpecs(deployment: Deployment, inventory: Inventory): GroupSpec[] {
     const assignedZones = new Set(deployment.groups.flatMap((g) => g.zones));
     const defaultSpecs = inventory.zones
@@ -180,8 +179,8 @@
 }
 
 /**
- * Chooses a zone group's voters: members of the zone first, so that the zone keeps its quorum
- * when it is cut off; members elsewhere only where the zone has fewer than three disks.
+ * Selects the voters of a zone group. Members in its zones come first, so that the group keeps its
+ * quorum during a network partition; remote members only fill missing places.
  */
 function selectZoneVoters(deployment: Deployment, spec: GroupSpec): EntryId[] {
     const withDisk = deployment.members.filter((m) => m.hasDisk);
@@ -193,7 +192,7 @@
     return [...localMembers, ...remoteMembers].slice(0, MAX_ZONE_VOTERS).map((m) => m.id);
 }
 
-/** Chooses the configuration group's voters: an odd number, spread over the zones in turn. */
+/** Selects an odd number of voters for the configuration group, round-robin over the zones. */
 function selectConfigVoters(deployment: Deployment): EntryId[] {
     const membersByZone = new Map<ZoneId, EntryMember[]>();
     for (const member of deployment.members.filter((m) => m.hasDisk)) {
@@ -225,7 +224,7 @@
     return localGroup ?? (rankByHash(candidates, (g) => `${caller}|${g.id}`)[0] as GroupLayout);
 }
 
-/** Rendezvous hashing: a change of the list moves only the items that must move. */
+/** Ranks items by rendezvous hashing, which keeps assignments stable when the list changes. */
 function rankByHash<T>(items: readonly T[], getKey: (item: T) => string): T[] {
     return items
         .map((item) => ({ item, rank: createHash("sha1").update(getKey(item)).digest("hex") }))
--- a/membership/leader_router.ts
+++ b/membership/leader_router.ts
@@ -1,12 +1,12 @@
 /**
- * Finds the control group's leader from a few seed addresses and carries calls to it, through
- * elections, lost connections and replaced instances.
+ * Discovers the control group's leader from seed addresses and routes calls to it, with retries
+ * during failover.
  *
  * @example
  * ```ts
  * import { LeaderRouter } from "./leader_router.ts";
  * const router = new LeaderRouter({ listSeeds: () => ["10.1.0.16:7720"] });
- * const answer = await router.call("control.callers", params, 2_000);
+ * const response = await router.call("control.callers", params, 2_000);
  * ```
  *
  * @module
@@ -14,25 +14,25 @@
 
 import { RpcClientPool, RpcError } from "../rpc/mod.ts";
 
-/** The JSON-RPC error code of an instance that does not lead. */
+/** JSON-RPC error code of an instance that is not the leader. */
 export const NOT_LEADER_CODE = -32010;
 
-/** The JSON-RPC error code of a leader that was replaced before a call was agreed on. */
+/** JSON-RPC error code of a leader that lost leadership before a call was committed. */
 export const OUTCOME_UNKNOWN_CODE = -32011;
 
-/** What comes with {@link NOT_LEADER_CODE}. */
+/** Error data sent with {@link NOT_LEADER_CODE}. */
 export interface NotLeaderData {
-    /** The leader's address, as far as known. */
+    /** Address of the leader, if known. */
     readonly leader: string | undefined;
 }
 
-/** Thrown when no leader answered in time. */
+/** Thrown when no leader responds before the deadline. */
 export class NoLeaderError extends Error {
-    /** Whether a leader may have taken the call and its answer was lost. */
+    /** Whether a leader may have executed the call although its response was lost. */
     readonly mayHaveExecuted: boolean;
 
     /**
-     * @param mayHaveExecuted Whether the call may have been carried out.
+     * @param mayHaveExecuted Whether a leader may have executed the call.
      */
     constructor(mayHaveExecuted: boolean) {
         super(`no leader answered${mayHaveExecuted ? "; the call may have been carried out" : ""}`);
@@ -43,42 +43,38 @@
 
 /** Options of {@link LeaderRouter}. */
 export interface LeaderRouterOptions {
-    /** Addresses from the settings; they may be old, few or down. */
+    /** Returns the configured seed addresses; some may be stale or unreachable. */
     readonly listSeeds: () => readonly string[];
-    /** An instance that answers nothing for this long is given up, in ms. */
+    /** Time without any response after which calls to an instance fail, in ms. */
     readonly inactivityTimeoutMs?: number;
     readonly getNow?: () => number;
 }
 
-/** How long a call may take. */
+/** Time limits of a call, from its start; evaluated again before each attempt. */
 export interface CallBudget {
-    /** While no try was delivered to an instance that may lead, in ms; asked again as it waits. */
+    /** Returns the limit while no attempt may have reached a leader, in ms. */
     readonly computeUndeliveredMs: () => number;
-    /** Once one was, in ms; asked again as it waits. */
+    /** Returns the limit once an attempt may have reached a leader, in ms. */
     readonly computeDeliveredMs: () => number;
 }
 
-/**
- * About an election timeout: longer than a commit (15 ms, 0.3 s on a slow disk), so that a silent leader
- * costs a caller little more than the election itself.
- */
+/** Default inactivity timeout of an instance, in ms; longer than a commit on a slow disk. */
 const DEFAULT_INACTIVITY_TIMEOUT_MS = 350;
-/** How often a call that waits looks whether its instance still answers others, in ms. */
+/** Interval at which a pending call checks its instance for inactivity, in ms. */
 const INACTIVITY_CHECK_INTERVAL_MS = 50;
 /**
- * Time between two tries of all calls together while no leader is known, in ms: a tenth of an election.
- * Each call that waits trying on its own, some hundreds of them ask the instances thousands of times a
- * second while these try to elect a leader, and keep them from it.
+ * Interval between attempts while no leader is known, in ms. It is shared by all pending calls, so
+ * that their retries do not overload instances during an election.
  */
 const LEADER_SEARCH_INTERVAL_MS = 60;
 
-/** Calls to whoever leads. */
+/** Routes calls to the current leader of the control group. */
 export class LeaderRouter {
     readonly #options: LeaderRouterOptions;
     readonly #clientPool: RpcClientPool;
     readonly #getNow: () => number;
     readonly #inactivityTimeoutMs: number;
-    /** When each instance answered last, whatever it said. */
+    /** Time of the last response of each instance, errors included. */
     readonly #lastResponseAtMs = new Map<string, number>();
     #knownMembers: readonly string[] = [];
     #leader: string | undefined;
@@ -87,7 +83,7 @@
     readonly #waiters = new Set<() => void>();
 
     /**
-     * @param options Seeds and timeouts.
+     * @param options Seed addresses and timeouts.
      */
     constructor(options: LeaderRouterOptions) {
         this.#options = options;
@@ -96,18 +92,18 @@
         this.#clientPool = new RpcClientPool({ timeoutMs: this.#inactivityTimeoutMs });
     }
 
-    /** The leader's address, as far as known. */
+    /** Address of the leader, if known. */
     get leader(): string | undefined {
         return this.#leader;
     }
 
-    /** Addresses of control instances: those that the leader told of, then the seeds. */
+    /** Lists the addresses of control instances: members that a leader reported, then seeds. */
     listMembers(): string[] {
         return [...new Set([...this.#knownMembers, ...this.#options.listSeeds()])];
     }
 
     /**
-     * Takes the members that a leader told of.
+     * Sets the members that a leader reported.
      *
      * @param members Their addresses.
      */
@@ -116,9 +112,9 @@
     }
 
     /**
-     * Takes the leader that others hear, while none is known here: calls that wait go there at once.
+     * Adopts a leader that other instances reported, unless one is known, and wakes pending calls.
      *
-     * @param leader Its address.
+     * @param leader The leader's address.
      */
     adoptLeader(leader: string): void {
         if (this.#leader === undefined) {
@@ -127,14 +123,14 @@
     }
 
     /**
-     * Calls the leader, trying one instance after another until one that leads answers.
+     * Calls a method on the leader, retrying on other instances until a leader responds.
      *
-     * @param method The method; carrying it out twice must be harmless.
-     * @param params Its params.
-     * @param budget How long all tries together may take, in ms.
-     * @returns The leader's answer.
-     * @throws {NoLeaderError} When nobody that leads answered in time.
-     * @throws {RpcError} When the leader refused the call.
+     * @param method The method, which must be idempotent.
+     * @param params The parameters of the method.
+     * @param budget The time limit of all attempts together, in ms.
+     * @returns The leader's response.
+     * @throws {NoLeaderError} If no leader responds before the deadline.
+     * @throws {RpcError} If the leader rejects the call.
      */
     async call<T>(method: string, params: object, budget: number | CallBudget): Promise<T> {
         const { computeUndeliveredMs, computeDeliveredMs } =
@@ -152,7 +148,7 @@
                 throw new NoLeaderError(mayHaveExecuted);
             }
             try {
-                // Once it is delivered the outcome is what counts, so the try may last as long.
+                // The attempt may use the longer limit, which applies as soon as it is delivered.
                 const remainingMs = startedAt + computeDeliveredMs() - this.#getNow();
                 const answer = await this.#callInstance<T>(target, method, params, remainingMs);
                 this.#setLeader(target);
@@ -164,9 +160,8 @@
     }
 
     /**
-     * Calls one instance. It is given up when it answers nobody for a while; a busy one that still
-     * answers others is waited for. Calling it again would only add to its load: with a fixed short
-     * timeout each call came several times, and a leader at its limit never caught up.
+     * Calls an instance, and fails early if the instance responds to no call for the inactivity
+     * timeout. A slow instance that responds to other calls is not retried, to avoid overload.
      */
     async #callInstance<T>(
         target: string,
@@ -186,7 +181,7 @@
                     reject(new RpcError(`${target} has answered nothing: timeout`, 0));
                 }
             };
-            // On a busy event loop what has arrived is read before the instance counts as silent.
+            // Lets a busy event loop process received responses before checking for inactivity.
             timer = setInterval(() => setImmediate(checkInactivity), INACTIVITY_CHECK_INTERVAL_MS);
         });
         try {
@@ -197,7 +192,7 @@
             if (error instanceof RpcError && error.code !== 0) {
                 this.#recordResponse(target);
             }
-            // The call itself may still fail later; nobody waits for it any more.
+            // Prevents an unhandled rejection if the abandoned call fails later.
             call.catch(() => {});
             throw error;
         } finally {
@@ -209,7 +204,7 @@
         this.#lastResponseAtMs.set(target, this.#getNow());
     }
 
-    /** @returns Whether the call may have been carried out nevertheless. */
+    /** @returns Whether the instance may have executed the failed call. */
     #handleFailure(target: string, error: Error): boolean {
         const { code, data } = error as RpcError;
         if (error instanceof RpcError && code === NOT_LEADER_CODE) {
@@ -233,7 +228,7 @@
         return !(error instanceof RpcError && error.isUndelivered);
     }
 
-    /** Waits until a leader is known, or it is this call's turn to look for one. */
+    /** Waits until a leader is known or this call may make the next search attempt. */
     async #waitForSearchSlot(deadline: number): Promise<void> {
         for (;;) {
             const now = this.#getNow();
--- a/membership/leader_router_test.ts
+++ b/membership/leader_router_test.ts
@@ -10,7 +10,7 @@
     return server;
 }
 
-/** A server that takes connections and answers nothing, as a suspended process does. */
+/** Starts a server that accepts connections and never responds, like a suspended process. */
 async function startUnresponsiveServer(t: ExecutionContext): Promise<string> {
     const server: Server = createServer(() => {});
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
@@ -54,8 +54,7 @@
 });
 
 test("calls that wait for a leader look for it together", async (t) => {
-    // Hundreds of callers wait at a front while all control instances elect. Each call asking on its own
-    // keeps the instances busy with saying that they do not lead, and the election fails for want of time.
+    // Independent retries of many pending calls would overload the instances during an election.
     let callCount = 0;
     let isLeader = false;
     const member = await startMember(t, () => {
@@ -75,8 +74,7 @@
 });
 
 test("a busy leader that answers others is not asked again", async (t) => {
-    // Callers see one slow answer each. With a fixed timeout per try every slow call would come
-    // several times, and a leader at its limit would get several times the load.
+    // A fixed timeout per attempt would multiply the load of an overloaded leader.
     let callCount = 0;
     const leader = await startRpcServer({
         methods: {
--- a/membership/mod.ts
+++ b/membership/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Which entry instances there are, how a cell's work is divided among them, and who is up.
+ * Cluster membership: layout of the groups, member identity, failure detection, and leader routing.
  *
  * @example
  * ```ts
--- a/membership/voter_plan.ts
+++ b/membership/voter_plan.ts
@@ -1,10 +1,10 @@
 /**
- * Which control instances should vote, when nothing but what they tell is known of them.
+ * Plans the voters of the control group from the instances that are alive.
  *
  * @example
  * ```ts
  * import { planVoters } from "./voter_plan.ts";
- * const wanted = planVoters({ current, live, target: 3 });
+ * const voters = planVoters({ current, live, targetSize: 3 });
  * ```
  *
  * @module
@@ -12,23 +12,23 @@
 
 import type { EntryId } from "./layout.ts";
 
-/** What is known of the control instances. */
+/** Input of {@link planVoters}. */
 export interface VoterPlanInput {
-    /** Instances that vote now. */
+    /** Current voters. */
     readonly current: readonly EntryId[];
-    /** Instances heard from lately, with their availability zones. */
+    /** Availability zones of the live instances. */
     readonly live: ReadonlyMap<EntryId, string>;
-    /** How many should vote. */
+    /** Number of voters to reach. */
     readonly targetSize: number;
 }
 
 /**
- * Chooses the instances that should vote: those that vote and are alive stay; a silent one goes
- * only when a live one can take its place, because a smaller group bears less; places go to
- * the availability zones with the fewest voters, so that the loss of one zone leaves a quorum.
+ * Plans the voters of the control group. Live voters stay, and a failed voter stays until a live
+ * instance can replace it, to preserve fault tolerance. New voters come from the availability zones
+ * with the fewest voters, so that the quorum survives the loss of a zone.
  *
- * @param input What is known.
- * @returns The instances that should vote.
+ * @param input The current voters, the live instances and the target size.
+ * @returns The planned voters.
  */
 export function planVoters(input: VoterPlanInput): EntryId[] {
     const planned = dropSurplusVoters(input.current, input);
@@ -46,10 +46,9 @@
 }
 
 /**
- * Drops silent voters beyond the target. A replaced instance that stays a voter is a loss that
- * lasts: with four voters, one of them gone for good, the next loss leaves no quorum. It goes before others are
- * chosen: a voter whose replacement votes already would get a second and a third one until it is removed,
- * and each of them is one more that has to agree (seven voters for five, seen on a large floor).
+ * Drops failed voters in excess of the target size, as each one lowers the number of further
+ * failures that the quorum survives. This precedes the selection of new voters, so that a failed
+ * voter that already has a replacement does not get another one.
  */
 function dropSurplusVoters(voters: readonly EntryId[], input: VoterPlanInput): EntryId[] {
     const kept = [...voters];
@@ -61,7 +60,7 @@
     return kept;
 }
 
-/** Takes the candidate whose zone has the fewest voters. */
+/** Removes and returns the candidate whose availability zone has the fewest voters. */
 function takeFromEmptiestZone(
     candidates: EntryId[],
     voters: readonly EntryId[],
--- a/membership/voter_plan_test.ts
+++ b/membership/voter_plan_test.ts
@@ -33,16 +33,13 @@
 });
 
 test("a voter that was replaced and is gone goes, so that the next loss can be borne", (t) => {
-    // The operator's newest configuration could not be read any more: a new instance came and
-    // was added, the old one left for good but stayed a voter, and one more disk was lost.
     const current = ["a", "b", "c", "d"] as EntryId[];
     const live = buildLive(["a", "z1"], ["c", "z3"], ["d", "z2"]);
     t.deepEqual(planVoters({ current, live, targetSize: 3 }), ["a", "c", "d"]);
 });
 
 test("a lost voter is replaced by one instance, not by one more each time it is looked at", (t) => {
-    // The operator sees seven instances having to agree where five should: the replacement votes already, the lost
-    // voter is not removed yet, and a plan made meanwhile found it silent again and took the next instance.
+    // The plan is computed again while the failed voter and its replacement both vote.
     const live = buildLive(["a", "z1"], ["b", "z2"], ["d", "z3"], ["e", "z3"], ["f", "z4"]);
     const planned = planVoters({ current: VOTERS, live, targetSize: 3 });
     t.deepEqual(planned, ["a", "b", "d"]);
