--- a/group/group_member.ts
+++ b/group/group_member.ts
@@ -88,7 +88,7 @@
             ),
             initialVoters: firstVoters,
             onStorageError: (error) => {
-                options.log.error("storage refused a write; trying again", {
+                options.log.error("storage write failed; retrying", {
                     group: options.group.id,
                     error: error.message,
                 });
--- a/membership/leader_router.ts
+++ b/membership/leader_router.ts
@@ -178,7 +178,7 @@
             const checkInactivity = (): void => {
                 const lastActivityAt = Math.max(startedAt, this.#lastResponseAtMs.get(target) ?? 0);
                 if (this.#getNow() - lastActivityAt > this.#inactivityTimeoutMs) {
-                    reject(new RpcError(`${target} has answered nothing: timeout`, 0));
+                    reject(new RpcError(`${target} did not respond: timeout`, 0));
                 }
             };
             // Lets a busy event loop process received responses before checking for inactivity.
--- a/membership/leader_router_test.ts
+++ b/membership/leader_router_test.ts
@@ -18,7 +18,7 @@
     return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-test("a member that does not lead names the one that does", async (t) => {
+test("a call to a follower is redirected to the leader", async (t) => {
     const leader = await startMember(t, () => "yes");
     const follower = await startMember(t, () => {
         throw new MethodError("no", NOT_LEADER_CODE, { leader: leader.address });
@@ -28,7 +28,7 @@
     t.is(router.leader, leader.address);
 });
 
-test("a silent member is given up for another, and the call's outcome is unsure", async (t) => {
+test("a call fails over from an unresponsive member, or fails with an unknown outcome", async (t) => {
     const unresponsive = await startUnresponsiveServer(t);
     const leader = await startMember(t, () => "yes");
     const router = new LeaderRouter({
@@ -47,13 +47,13 @@
     t.regex(error.message, /may have been/);
 });
 
-test("a call that no member took is known not to have happened", async (t) => {
+test("a call that reached no member fails as not executed", async (t) => {
     const router = new LeaderRouter({ listSeeds: () => ["127.0.0.1:1"] });
     const error = await t.throwsAsync(router.call("x", {}, 300), { instanceOf: NoLeaderError });
     t.false(error.mayHaveExecuted);
 });
 
-test("calls that wait for a leader look for it together", async (t) => {
+test("pending calls share the attempts to find a leader", async (t) => {
     // Independent retries of many pending calls would overload the instances during an election.
     let callCount = 0;
     let isLeader = false;
@@ -67,13 +67,13 @@
     const router = new LeaderRouter({ listSeeds: () => [member.address] });
     const pendingCalls = Array.from({ length: 100 }, () => router.call("x", {}, 3_000));
     await new Promise((resolve) => setTimeout(resolve, 600));
-    t.true(callCount <= 20, `asked ${callCount} times`);
+    t.true(callCount <= 20, `${callCount} attempts`);
     isLeader = true;
     t.true((await Promise.all(pendingCalls)).every((answer) => answer === "yes"));
-    t.true(callCount <= 140, `asked ${callCount} times`);
+    t.true(callCount <= 140, `${callCount} attempts`);
 });
 
-test("a busy leader that answers others is not asked again", async (t) => {
+test("a slow call is not retried while the leader responds to other calls", async (t) => {
     // A fixed timeout per attempt would multiply the load of an overloaded leader.
     let callCount = 0;
     const leader = await startRpcServer({
