--- a/entry/status.ts
+++ b/entry/status.ts
@@ -12,7 +12,12 @@
 
 import type { Cell, CellCounters } from "../cell/mod.ts";
 import type { GroupId, MemberId, Role } from "../log/mod.ts";
-import { CONFIG_GROUP, type EntryId, type Gossip, type MemberStatus } from "../membership/mod.ts";
+import {
+    CONFIG_GROUP_ID,
+    type EntryId,
+    type Gossip,
+    type MemberStatus,
+} from "../membership/mod.ts";
 import { addByteCounts, type ByteCounts } from "../rpc/mod.ts";
 import type { ConfigGroup } from "./config_group.ts";
 import type { ZoneGroup } from "./zone_group.ts";
@@ -73,7 +78,7 @@
     const zones = [...sources.zones].map(([id, zone]) =>
         describeGroup(id, zone.member, zone.cell.rules.version, describeCells([zone.cell])),
     );
-    const config = describeGroup(CONFIG_GROUP, sources.config.member, sources.rulesVersion);
+    const config = describeGroup(CONFIG_GROUP_ID, sources.config.member, sources.rulesVersion);
     const now = performance.now();
     return {
         id: sources.self,
--- a/group/group_member.ts
+++ b/group/group_member.ts
@@ -255,7 +255,7 @@
         const votingInstances = voters.map((v) => parseEntryId(v));
         return (
             !configuredVoters.includes(instance) &&
-            configuredVoters.every((w) => votingInstances.includes(w))
+            configuredVoters.every((id) => votingInstances.includes(id))
         );
     }
 
--- a/membership/gossip.ts
+++ b/membership/gossip.ts
@@ -93,12 +93,12 @@
         this.#counter += 1;
         this.#updateEntry(this.#createLocalEntry(), now);
         const candidates = this.#options.members.filter((m) => m !== this.#options.self);
-        const chosen: EntryId[] = [];
-        while (chosen.length < this.#options.fanout && candidates.length > 0) {
+        const selected: EntryId[] = [];
+        while (selected.length < this.#options.fanout && candidates.length > 0) {
             const index = Math.floor(this.#options.random() * candidates.length);
-            chosen.push(...candidates.splice(index, 1));
+            selected.push(...candidates.splice(index, 1));
         }
-        return chosen;
+        return selected;
     }
 
     /**
--- a/membership/layout.ts
+++ b/membership/layout.ts
@@ -90,7 +90,7 @@
 }
 
 /** Id of the configuration group. */
-export const CONFIG_GROUP = "config" as GroupId;
+export const CONFIG_GROUP_ID = "config" as GroupId;
 const MAX_ZONE_VOTERS = 3;
 const MAX_CONFIG_VOTERS = 5;
 const ID_SEPARATOR = ".";
@@ -122,7 +122,7 @@
     });
     const configVoters = selectConfigVoters(deployment);
     const config: GroupLayout = {
-        id: CONFIG_GROUP,
+        id: CONFIG_GROUP_ID,
         zones: [],
         voters: configVoters,
         learners: deployment.members.map((m) => m.id).filter((id) => !configVoters.includes(id)),
@@ -198,10 +198,10 @@
     for (const member of deployment.members.filter((m) => m.hasDisk)) {
         membersByZone.set(member.zone, [...(membersByZone.get(member.zone) ?? []), member]);
     }
-    const zoneLists = [...membersByZone.values()];
+    const memberLists = [...membersByZone.values()];
     const interleaved: EntryId[] = [];
-    for (let round = 0; zoneLists.some((q) => q.length > round); round++) {
-        interleaved.push(...zoneLists.flatMap((q) => q[round]?.id ?? []));
+    for (let round = 0; memberLists.some((members) => members.length > round); round++) {
+        interleaved.push(...memberLists.flatMap((members) => members[round]?.id ?? []));
     }
     const count = Math.min(MAX_CONFIG_VOTERS, interleaved.length);
     return interleaved.slice(0, count % 2 === 0 ? Math.max(1, count - 1) : count);
--- a/membership/leader_router.ts
+++ b/membership/leader_router.ts
@@ -208,10 +208,10 @@
     #handleFailure(target: string, error: Error): boolean {
         const { code, data } = error as RpcError;
         if (error instanceof RpcError && code === NOT_LEADER_CODE) {
-            const hint = (data as NotLeaderData | undefined)?.leader;
+            const leaderHint = (data as NotLeaderData | undefined)?.leader;
             this.#leader = undefined;
-            if (hint !== undefined && hint !== target) {
-                this.#setLeader(hint);
+            if (leaderHint !== undefined && leaderHint !== target) {
+                this.#setLeader(leaderHint);
             }
             return false;
         }
--- a/membership/leader_router_test.ts
+++ b/membership/leader_router_test.ts
@@ -4,8 +4,8 @@
 import { MethodError, startRpcServer, type RpcServer } from "../rpc/mod.ts";
 import { LeaderRouter, NoLeaderError, NOT_LEADER_CODE } from "./leader_router.ts";
 
-async function startMember(t: ExecutionContext, answer: () => unknown): Promise<RpcServer> {
-    const server = await startRpcServer({ methods: { x: answer } });
+async function startMember(t: ExecutionContext, handler: () => unknown): Promise<RpcServer> {
+    const server = await startRpcServer({ methods: { x: handler } });
     t.teardown(() => server.close());
     return server;
 }
--- a/membership/voter_plan_test.ts
+++ b/membership/voter_plan_test.ts
@@ -43,6 +43,10 @@
     const live = buildLive(["a", "z1"], ["b", "z2"], ["d", "z3"], ["e", "z3"], ["f", "z4"]);
     const planned = planVoters({ current: VOTERS, live, targetSize: 3 });
     t.deepEqual(planned, ["a", "b", "d"]);
-    const whileBothVote = [...VOTERS, "d"] as EntryId[];
-    t.deepEqual(planVoters({ current: whileBothVote, live, targetSize: 3 }), ["a", "b", "d"]);
+    const votersWithReplacement = [...VOTERS, "d"] as EntryId[];
+    t.deepEqual(planVoters({ current: votersWithReplacement, live, targetSize: 3 }), [
+        "a",
+        "b",
+        "d",
+    ]);
 });
