--- a/bench/cluster_bench.ts
+++ b/bench/cluster_bench.ts
@@ -133,7 +133,7 @@
 const zones = instances >= 9 ? ALL_ZONES : ["z1"];
 const cluster = await buildCluster({
     zones,
-    perZone: Math.ceil(instances / zones.length),
+    entriesPerZone: Math.ceil(instances / zones.length),
     workers: 6,
     snapshotEvery: 200,
     callers: [{ caller: "console-1", zone: "z1" }],
--- a/entry/_cluster_fixtures.ts
+++ b/entry/_cluster_fixtures.ts
@@ -27,14 +27,14 @@
 import { auditTimeline, type ReportedOutcome } from "../telemetry/mod.ts";
 
 const SERVICE = "studio-intake";
-const CORES = 16;
-const SETTLE_MS = 60_000;
+const WORKER_CORES = 16;
+const SETTLE_TIMEOUT_MS = 60_000;
 
 /** Options of {@link buildCluster}. */
 export interface ClusterFixtureOptions extends Partial<ClusterOptions> {
     readonly zones: readonly string[];
     /** Entry instances per zone. */
-    readonly perZone: number;
+    readonly entriesPerZone: number;
     readonly workers?: number;
     /** Members without a disk, besides those with one, in the first zone. */
     readonly diskless?: number;
@@ -59,7 +59,10 @@
     writeFileSync(inventoryFile, stringify(inventory, { aliasDuplicateObjects: false }));
     writeFileSync(rulesFile, stringify(buildRulesFile()));
     const members = options.zones.flatMap((zone) =>
-        Array.from({ length: options.perZone }, (_, i) => ({ id: `e-${zone}-${i + 1}`, zone })),
+        Array.from({ length: options.entriesPerZone }, (_, i) => ({
+            id: `e-${zone}-${i + 1}`,
+            zone,
+        })),
     );
     const diskless = Array.from({ length: options.diskless ?? 0 }, (_, i) => ({
         id: `d-${options.zones[0]}-${i + 1}`,
@@ -88,7 +91,7 @@
 /** What a workload sends. */
 export interface WorkloadOptions {
     /** A request every this many ms. */
-    readonly everyMs: number;
+    readonly intervalMs: number;
     /** Kinds in turn. */
     readonly kinds?: readonly string[];
     readonly runMs?: number;
@@ -152,7 +155,7 @@
                 },
                 isCancelled,
             );
-        }, options.everyMs);
+        }, options.intervalMs);
         this.#timer.unref();
     }
 
@@ -188,7 +191,7 @@
      * @returns The last answers.
      */
     async waitAll(): Promise<Answer[]> {
-        const until = Date.now() + SETTLE_MS;
+        const until = Date.now() + SETTLE_TIMEOUT_MS;
         return Promise.all(
             this.#sent.map(async ({ spec, answer }) => {
                 const first = (await answer) ?? (await this.#caller.submit(spec));
@@ -221,7 +224,7 @@
     const timeline = cluster.loadTimeline();
     const instances = new Set(timeline.flatMap((e) => (e["instance"] as string) ?? []));
     return auditTimeline(timeline, {
-        capacities: new Map([...instances].map((id) => [id, CORES])),
+        capacities: new Map([...instances].map((id) => [id, WORKER_CORES])),
         killedAtMs: cluster.killedAt,
         outcomes: answers.map((answer): ReportedOutcome => ({
             requestId: answer.requestId,
--- a/entry/api_schema.ts
+++ b/entry/api_schema.ts
@@ -15,7 +15,7 @@
 import { MethodError } from "../rpc/mod.ts";
 import { rulesSchema } from "../rules/rules_file.ts";
 
-const resources = z.object({
+const resourcesSchema = z.object({
     cores: z.number().nonnegative(),
     memoryMb: z.number().int().nonnegative(),
     accelerators: z.number().int().nonnegative().default(0),
@@ -29,7 +29,7 @@
         kind: z.string().min(1),
         service: z.string().min(1),
         customer: z.string().min(1),
-        demand: resources,
+        demand: resourcesSchema,
         count: z.number().int().positive().max(1_000).default(1),
         declaredRunMs: z.number().nonnegative().default(1_000),
         maxWaitMs: z.number().nonnegative().default(0),
@@ -66,10 +66,10 @@
     }),
 });
 
-const heldLease = z.object({
+const heldLeaseSchema = z.object({
     lease: z.string(),
     epoch: z.number().int(),
-    usage: resources.optional(),
+    usage: resourcesSchema.optional(),
 });
 
 /** `workers.announce`. */
@@ -94,7 +94,7 @@
                 instance: z.string(),
                 incarnation: z.string().default(""),
                 sentAt: z.number(),
-                leases: z.array(heldLease),
+                leases: z.array(heldLeaseSchema),
             }),
         )
         .min(1),
@@ -132,18 +132,18 @@
         .max(1_000),
 });
 
-const memberId = z.string().regex(/^[^#]+#[^#]+$/);
+const memberIdSchema = z.string().regex(/^[^#]+#[^#]+$/);
 
 /** `peer.group`: the message itself is trusted, it comes from our own processes. */
 export const envelopeSchema = z.object({
     group: z.string(),
-    from: memberId,
-    to: memberId,
+    from: memberIdSchema,
+    to: memberIdSchema,
     message: z.object({ type: z.string() }).passthrough(),
 });
 
 /** `peer.subscribe`. */
-export const subscribeSchema = z.object({ group: z.string(), member: memberId });
+export const subscribeSchema = z.object({ group: z.string(), member: memberIdSchema });
 
 /** `peer.forward`. */
 export const forwardSchema = z.object({
@@ -178,10 +178,10 @@
 export function parseParams<S extends z.ZodTypeAny>(schema: S, params: unknown): z.infer<S> {
     const parsed = schema.safeParse(params ?? {});
     if (!parsed.success) {
-        const findings = parsed.error.issues.map(
+        const issues = parsed.error.issues.map(
             (i) => `${i.path.join(".") || "(params)"}: ${i.message}`,
         );
-        throw new MethodError(`invalid params: ${findings.join("; ")}`, -32602);
+        throw new MethodError(`invalid params: ${issues.join("; ")}`, -32602);
     }
     return parsed.data;
 }
--- a/entry/call_router.ts
+++ b/entry/call_router.ts
@@ -44,7 +44,7 @@
 }
 
 const FORWARD_TIMEOUT_MS = 2_000;
-const MOST_TRIES = 3;
+const MAX_FORWARD_ATTEMPTS = 3;
 
 /** Passes calls on to leaders. */
 export class CallRouter {
@@ -75,7 +75,7 @@
         const tried = new Set<EntryId>([this.#options.self]);
         const candidates = this.#listCandidates(group);
         let outcome: NoLeaderData["outcome"] = "not_accepted";
-        while (candidates.length > 0 && tried.size <= MOST_TRIES) {
+        while (candidates.length > 0 && tried.size <= MAX_FORWARD_ATTEMPTS) {
             const target = candidates.shift() as EntryId;
             if (tried.has(target)) {
                 continue;
@@ -84,7 +84,7 @@
             try {
                 return await this.#sendForward(target, { group: group.id, method, params });
             } catch (error) {
-                const data = this.#readNoLeader(error);
+                const data = this.#readNoLeaderData(error);
                 if (data === undefined || data.outcome === "unknown") {
                     outcome = "unknown";
                 }
@@ -116,14 +116,14 @@
     #listCandidates(group: GroupLayout): EntryId[] {
         const now = performance.now();
         const { gossip } = this.#options;
-        const known = [
+        const knownLeaders = [
             this.#options.getMember(group.id)?.leader,
             gossip.findLeader(group.id, now),
         ].filter((id) => id !== undefined);
         const voters = group.voters.filter((v) =>
             ["up", "unknown"].includes(gossip.getStatus(v, now)),
         );
-        return [...known, ...voters];
+        return [...knownLeaders, ...voters];
     }
 
     async #sendForward(target: EntryId, call: ForwardedCall): Promise<unknown> {
@@ -135,28 +135,28 @@
             return await client.call("peer.forward", call, FORWARD_TIMEOUT_MS);
         } catch (error) {
             if (error instanceof RpcError && error.code !== 0 && error.code !== NO_LEADER_CODE) {
-                throw new PassedOnError(error);
+                throw new RemoteMethodError(error);
             }
             throw error;
         }
     }
 
     /** Tells a missing leader from the leader's own answer, which is passed on as it is. */
-    #readNoLeader(error: unknown): NoLeaderData | undefined {
-        if (error instanceof PassedOnError) {
-            throw new MethodError(error.answer.message, error.answer.code, error.answer.data);
+    #readNoLeaderData(error: unknown): NoLeaderData | undefined {
+        if (error instanceof RemoteMethodError) {
+            throw new MethodError(error.rpcError.message, error.rpcError.code, error.rpcError.data);
         }
-        const coded = error as { code?: number; data?: unknown };
-        return coded.code === NO_LEADER_CODE ? (coded.data as NoLeaderData) : undefined;
+        const codedError = error as { code?: number; data?: unknown };
+        return codedError.code === NO_LEADER_CODE ? (codedError.data as NoLeaderData) : undefined;
     }
 }
 
 /** The leader answered with an error of its own. */
-class PassedOnError extends Error {
-    readonly answer: RpcError;
+class RemoteMethodError extends Error {
+    readonly rpcError: RpcError;
 
     constructor(answer: RpcError) {
         super(answer.message);
-        this.answer = answer;
+        this.rpcError = answer;
     }
 }
--- a/entry/cluster_test.ts
+++ b/entry/cluster_test.ts
@@ -16,10 +16,10 @@
         // Callers go on sending batches while the leader's process is killed. Their resends reach
         // the next leader, which knows every lease the first may have offered, asks the workers
         // again about those without an answer, and never leases a batch a second time.
-        const cluster = await buildCluster({ zones: [ZONE], perZone: 3 });
+        const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
         t.teardown(() => cluster.stop());
         const workload = new Workload(cluster);
-        workload.start({ everyMs: 10, kinds: ["batch", "reel", "batch", "preview"] });
+        workload.start({ intervalMs: 10, kinds: ["batch", "reel", "batch", "preview"] });
         await waitFor(1_000);
         const leader = (await cluster.findLeader(ZONE)) as string;
         await cluster.removeProcess(leader);
@@ -39,10 +39,10 @@
         // The leader's process is paused with leases on their way, its successor counts them lost or
         // asks about them, and then it wakes believing that it still leads. Its offers name old
         // heartbeats, its commits find no quorum, and callers get nothing from it but another leader.
-        const cluster = await buildCluster({ zones: [ZONE], perZone: 3 });
+        const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
         t.teardown(() => cluster.stop());
         const workload = new Workload(cluster);
-        workload.start({ everyMs: 10 });
+        workload.start({ intervalMs: 10 });
         await waitFor(800);
         const leader = (await cluster.findLeader(ZONE)) as string;
         cluster.sendSignal(leader, "SIGSTOP");
@@ -64,10 +64,10 @@
         // The leader is cut off from the others and from the workers' calls without any connection
         // closing; it can still reach the workers. Callers that hit it are told at once that no
         // leader is within reach. After the cut it takes the log of the term it missed.
-        const cluster = await buildCluster({ zones: [ZONE], perZone: 3 });
+        const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
         t.teardown(() => cluster.stop());
         const workload = new Workload(cluster);
-        workload.start({ everyMs: 10 });
+        workload.start({ intervalMs: 10 });
         await waitFor(800);
         const leader = (await cluster.findLeader(ZONE)) as string;
         cluster.setIsolated(leader, "silent");
@@ -98,10 +98,10 @@
         // One instance loses its disk and comes back empty; the group takes it in as a new member and
         // drops the old one. Then another dies. The replaced member must count for the quorum, and
         // must hold what was accepted before it came, or accepted work would be gone.
-        const cluster = await buildCluster({ zones: [ZONE], perZone: 3 });
+        const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
         t.teardown(() => cluster.stop());
         const workload = new Workload(cluster);
-        workload.start({ everyMs: 20 });
+        workload.start({ intervalMs: 20 });
         await waitFor(800);
         const leader = (await cluster.findLeader(ZONE)) as string;
         const [replaced, other] = [1, 2, 3]
@@ -133,7 +133,11 @@
         // While it is down, hundreds of requests and rules changes pass it by and the others drop the
         // entries behind their snapshots. It must take the snapshot, then the entries after it, and
         // know the newest rules; then it must be able to lead.
-        const cluster = await buildCluster({ zones: [ZONE], perZone: 3, snapshotEvery: 100 });
+        const cluster = await buildCluster({
+            zones: [ZONE],
+            entriesPerZone: 3,
+            snapshotEvery: 100,
+        });
         t.teardown(() => cluster.stop());
         const leader = (await cluster.findLeader(ZONE)) as string;
         const config = (await cluster.findLeader("config")) as string;
@@ -143,7 +147,7 @@
         await cluster.removeProcess(late);
         const workload = new Workload(cluster);
         const { caller } = workload;
-        workload.start({ everyMs: 5, kinds: ["preview"], runMs: 5 });
+        workload.start({ intervalMs: 5, kinds: ["preview"], runMs: 5 });
         for (let version = 1; version <= 150; version++) {
             const result = await caller.setRules({
                 changeId: `c${version}`,
@@ -181,12 +185,12 @@
         // cancelled ones cancelled or completed, and idempotent ones run elsewhere.
         const cluster = await buildCluster({
             zones: [ZONE],
-            perZone: 3,
+            entriesPerZone: 3,
             failing: [`${ZONE}-r1-w1`],
         });
         t.teardown(() => cluster.stop());
         const workload = new Workload(cluster);
-        workload.start({ everyMs: 10, cancelEvery: 3 });
+        workload.start({ intervalMs: 10, cancelEvery: 3 });
         const huge = { cores: 99, memoryMb: 1, accelerators: 0 };
         const impossible = await Promise.all(
             Array.from({ length: 20 }, () => workload.submit({ demand: huge })),
@@ -206,10 +210,10 @@
         // A rolling restart under load. An instance that stops answers what it owes, refuses new
         // calls with "send elsewhere", and its followers elect; callers see delays but every request
         // completes, and none runs twice.
-        const cluster = await buildCluster({ zones: [ZONE], perZone: 3, diskless: 1 });
+        const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3, diskless: 1 });
         t.teardown(() => cluster.stop());
         const workload = new Workload(cluster);
-        workload.start({ everyMs: 15 });
+        workload.start({ intervalMs: 15 });
         for (const id of [`e-${ZONE}-1`, `e-${ZONE}-2`, `e-${ZONE}-3`, `d-${ZONE}-1`]) {
             await waitFor(500);
             await cluster.stopProcess(id);
@@ -240,13 +244,13 @@
         const zones = ["z1", "z2", "z3"];
         const cluster = await buildCluster({
             zones,
-            perZone: 3,
+            entriesPerZone: 3,
             workers: 9,
             callers: zones.map((zone) => ({ caller: `console-${zone}`, zone })),
         });
         t.teardown(() => cluster.stop());
         const loads = zones.map((zone) => new Workload(cluster, { name: `console-${zone}`, zone }));
-        loads.forEach((load) => load.start({ everyMs: 40 }));
+        loads.forEach((load) => load.start({ intervalMs: 40 }));
         await waitFor(1_000);
         cluster.setZoneCut("z1", "silent");
         await waitUntil("the majority side orders rules", async () => {
@@ -300,13 +304,13 @@
         const zones = ["z1", "z2", "z3"];
         const cluster = await buildCluster({
             zones,
-            perZone: 2,
+            entriesPerZone: 2,
             workers: 6,
             callers: [{ caller: "console-1", zone: "z1" }],
         });
         t.teardown(() => cluster.stop());
         const workload = new Workload(cluster, { zone: "z1" });
-        workload.start({ everyMs: 25, kinds: ["batch", "reel", "hero"], runMs: 900 });
+        workload.start({ intervalMs: 25, kinds: ["batch", "reel", "hero"], runMs: 900 });
         await waitUntil("work runs in the other zones", () => {
             const events = cluster.loadTimeline().filter((e) => e.message === "task started");
             return ["workers-z2", "workers-z3"].every((p) => events.some((e) => e.process === p));
@@ -328,7 +332,7 @@
         // Two operators send different rules for version 1 through different instances at once, and
         // resend after lost answers. One is applied, the other told of the conflict, and every
         // instance and zone has the winner's rules, also after the leader that decided died.
-        const cluster = await buildCluster({ zones: [ZONE], perZone: 3 });
+        const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
         t.teardown(() => cluster.stop());
         const entries = cluster.listEntries().split(",");
         const send = (at: number, changeId: string): Promise<RulesChangeResult> =>
--- a/entry/end_waiters.ts
+++ b/entry/completion_waiters.ts
@@ -3,7 +3,7 @@
  *
  * @example
  * ```ts
- * import { EndWaiters } from "./end_waiters.ts";
+ * import { EndWaiters } from "./completion_waiters.ts";
  * const waiters = new EndWaiters();
  * await waiters.wait(request, 5_000, () => isFinal(request));
  * ```
@@ -14,8 +14,8 @@
 import type { RequestId } from "../inventory/mod.ts";
 
 /** Waiting callers, by request. */
-export class EndWaiters {
-    readonly #waiting = new Map<RequestId, Set<() => void>>();
+export class CompletionWaiters {
+    readonly #waitersByRequest = new Map<RequestId, Set<() => void>>();
 
     /**
      * Waits until a request ends, the time runs out, or everybody is woken.
@@ -29,18 +29,18 @@
             return;
         }
         await new Promise<void>((resolve) => {
-            const waiting = this.#waiting.get(request) ?? new Set();
+            const waiters = this.#waitersByRequest.get(request) ?? new Set();
             const wake = (): void => {
                 clearTimeout(timer);
-                waiting.delete(wake);
-                if (waiting.size === 0) {
-                    this.#waiting.delete(request);
+                waiters.delete(wake);
+                if (waiters.size === 0) {
+                    this.#waitersByRequest.delete(request);
                 }
                 resolve();
             };
             const timer = setTimeout(wake, timeoutMs);
-            waiting.add(wake);
-            this.#waiting.set(request, waiting);
+            waiters.add(wake);
+            this.#waitersByRequest.set(request, waiters);
         });
     }
 
@@ -50,14 +50,14 @@
      * @param request The request.
      */
     wake(request: RequestId): void {
-        for (const wake of [...(this.#waiting.get(request) ?? [])]) {
+        for (const wake of [...(this.#waitersByRequest.get(request) ?? [])]) {
             wake();
         }
     }
 
     /** Wakes everybody: the instance shuts down. */
     wakeAll(): void {
-        for (const request of [...this.#waiting.keys()]) {
+        for (const request of [...this.#waitersByRequest.keys()]) {
             this.wake(request);
         }
     }
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -50,16 +50,11 @@
 } from "./api_schema.ts";
 import { CallRouter, type LocalMember } from "./call_router.ts";
 import { ConfigGroup } from "./config_group.ts";
-import {
-    createLeaderError,
-    createNoLeaderError,
-    NOT_FOUND_CODE,
-    SHUTTING_DOWN_CODE,
-} from "./errors.ts";
-import type { AdoptAnswer, AdoptItem, GroupRoom } from "./hand_over_agent.ts";
+import { toRpcError, createNoLeaderError, NOT_FOUND_CODE, SHUTTING_DOWN_CODE } from "./errors.ts";
+import type { AdoptAnswer, AdoptItem, GroupCapacity } from "./hand_over_agent.ts";
 import { PeerApi, type PeerMember } from "./peer_api.ts";
 import { PeerNetwork } from "../group/mod.ts";
-import { EndWaiters } from "./end_waiters.ts";
+import { CompletionWaiters } from "./completion_waiters.ts";
 import { describeStatus, type EntryStatus } from "./status.ts";
 import { WorkerApi } from "./worker_api.ts";
 import { ZoneGroup } from "./zone_group.ts";
@@ -91,11 +86,11 @@
     readonly logger?: Logger;
 }
 
-const GOSSIP_MS = 500;
+const GOSSIP_INTERVAL_MS = 500;
 /** How long a leader holds a wait that another instance passed on, in ms. */
-const FORWARDED_WAIT_MS = 1_500;
-const START_WAIT_MS = 10_000;
-const WHOLE_CELL = "cell" as GroupId;
+const MAX_FORWARDED_WAIT_MS = 1_500;
+const START_TIMEOUT_MS = 10_000;
+const STANDALONE_GROUP = "cell" as GroupId;
 
 /** One entry instance. */
 export class EntryInstance {
@@ -107,11 +102,11 @@
     readonly #router: CallRouter;
     readonly #config: ConfigGroup;
     readonly #zones = new Map<GroupId, ZoneGroup>();
-    readonly #waiters = new EndWaiters();
+    readonly #waiters = new CompletionWaiters();
     readonly #log: Logger;
     readonly metrics: EntryMetrics;
     #server: RpcServer | undefined;
-    #gossiping: Subscription | undefined;
+    #gossipSubscription: Subscription | undefined;
     #isAccepting = false;
 
     /**
@@ -123,7 +118,7 @@
         this.#log =
             options.logger ?? createLogger({ process: this.#self, zone: options.zone ?? "local" });
         this.metrics = createEntryMetrics();
-        const deployment = options.deployment ?? createLoneDeployment(options, this.#self);
+        const deployment = options.deployment ?? createStandaloneDeployment(options, this.#self);
         this.#layout = createLayout(deployment, options.inventory);
         this.#network = new PeerNetwork({
             findAddress: (id) => deployment.members.find((m) => m.id === id)?.address,
@@ -165,7 +160,7 @@
                     leaseGraceMs: options.leaseGraceMs,
                     tickMs: options.tickMs,
                     metrics: this.metrics,
-                    listRoom: (service) => this.#listRoom(group.id, service),
+                    listGroupCapacities: (service) => this.#listGroupCapacities(group.id, service),
                     sendAdopt: (to, items) => this.#sendAdopt(group.id, to, items),
                     onFinal: (request) => this.#waiters.wake(request),
                 });
@@ -248,7 +243,7 @@
         this.#updateGossip();
         await this.#sendGossip();
         await this.#server?.close();
-        this.#gossiping?.unsubscribe();
+        this.#gossipSubscription?.unsubscribe();
         await Promise.all([
             ...[...this.#zones.values()].map((zone) => zone.stop()),
             this.#config.member.stop(),
@@ -314,15 +309,15 @@
      */
     async #waitAnswer(params: unknown): Promise<Answer> {
         const { timeoutMs } = parseParams(requestRefSchema, params);
-        const until = performance.now() + timeoutMs;
-        const now = this.#findLocalAnswer(params) ?? (await this.#getAnswer(params));
-        if (now.final || timeoutMs === 0 || !this.#isAccepting) {
-            return now.final ? now : this.#getAnswer(params);
+        const deadline = performance.now() + timeoutMs;
+        const current = this.#findLocalAnswer(params) ?? (await this.#getAnswer(params));
+        if (current.final || timeoutMs === 0 || !this.#isAccepting) {
+            return current.final ? current : this.#getAnswer(params);
         }
-        if (this.#findReplica(now.requestId) === undefined) {
-            return this.#pollAnswer(now.requestId, until);
+        if (this.#findReplica(current.requestId) === undefined) {
+            return this.#pollAnswer(current.requestId, deadline);
         }
-        await this.#waiters.wait(now.requestId, timeoutMs, () => {
+        await this.#waiters.wait(current.requestId, timeoutMs, () => {
             return this.#findLocalAnswer(params)?.final ?? false;
         });
         return this.#getAnswer(params);
@@ -332,10 +327,10 @@
      * Waits for a request whose group has no replica here: its leader holds the wait. Asking for
      * the state again and again instead sent every waiting request's whole time line each time.
      */
-    async #pollAnswer(id: RequestId, until: number): Promise<Answer> {
+    async #pollAnswer(id: RequestId, deadline: number): Promise<Answer> {
         for (;;) {
-            const left = Math.max(0, until - performance.now());
-            const timeoutMs = this.#isAccepting ? Math.min(left, FORWARDED_WAIT_MS) : 0;
+            const remainingMs = Math.max(0, deadline - performance.now());
+            const timeoutMs = this.#isAccepting ? Math.min(remainingMs, MAX_FORWARDED_WAIT_MS) : 0;
             const params = { requestId: id, timeoutMs };
             const answer = (await this.#routeRequest("request.wait", params)) as Answer;
             if (answer.final || timeoutMs === 0) {
@@ -381,17 +376,17 @@
         const homes = new Set(
             this.#options.inventory.services.map((s) => this.#layout.findHomeGroup(caller, s.id)),
         );
-        let missing: unknown = createNotFoundError();
+        let lastError: unknown = createNotFoundError();
         for (const home of homes) {
             try {
                 return await this.#router.route(home, method, params);
             } catch (error) {
                 if ((error as { code?: number }).code !== NOT_FOUND_CODE) {
-                    missing = error;
+                    lastError = error;
                 }
             }
         }
-        throw missing;
+        throw lastError;
     }
 
     #routeInstance(method: string, params: unknown): Promise<unknown> {
@@ -413,7 +408,7 @@
             }
             return await this.#runZoneMethod(this.#getZone(group), method, params);
         } catch (error) {
-            throw createLeaderError(group, error);
+            throw toRpcError(group, error);
         }
     }
 
@@ -459,7 +454,7 @@
                 });
             }
             case "request.wait":
-                return this.#waitHere(zone.cell, params);
+                return this.#waitLocal(zone.cell, params);
             case "request.fate":
                 return zone.cell.describeRequest(findRequest(zone.cell, params));
             case "request.cancel":
@@ -483,11 +478,11 @@
     }
 
     /** Other groups with workers of a service, and the room their leaders told of last. */
-    #listRoom(own: GroupId, service: string): GroupRoom[] {
+    #listGroupCapacities(ownGroup: GroupId, service: string): GroupCapacity[] {
         const zones = this.#options.inventory.services.find((s) => s.id === service)?.zones ?? [];
         const now = performance.now();
         return this.#layout.groups
-            .filter((g) => g.id !== own && g.zones.some((z) => zones.includes(z)))
+            .filter((g) => g.id !== ownGroup && g.zones.some((z) => zones.includes(z)))
             .map((g) => ({ group: g.id, freeCores: this.#gossip.getFreeCores(g.id, now) }));
     }
 
@@ -504,7 +499,7 @@
         return this.#router.route(group, "zone.adopt", params) as Promise<AdoptAnswer[]>;
     }
 
-    async #waitHere(cell: Cell, params: unknown): Promise<Answer | undefined> {
+    async #waitLocal(cell: Cell, params: unknown): Promise<Answer | undefined> {
         const id = findRequest(cell, params);
         const { timeoutMs } = parseParams(requestRefSchema, params);
         const isFinal = (): boolean => cell.describeRequest(id)?.final ?? false;
@@ -521,7 +516,7 @@
     }
 
     #startGossip(): void {
-        this.#gossiping = interval(GOSSIP_MS).subscribe(() => {
+        this.#gossipSubscription = interval(GOSSIP_INTERVAL_MS).subscribe(() => {
             this.#updateGossip();
             void this.#sendGossip();
         });
@@ -575,14 +570,14 @@
     }
 
     async #waitServing(): Promise<void> {
-        const until = performance.now() + START_WAIT_MS;
+        const until = performance.now() + START_TIMEOUT_MS;
         while (!this.isServing && performance.now() < until) {
             await new Promise((resolve) => setTimeout(resolve, 2));
         }
     }
 
     #describeStatus(): EntryStatus {
-        const served = this.#server?.bytes() ?? { received: 0, sent: 0 };
+        const serverBytes = this.#server?.bytes() ?? { received: 0, sent: 0 };
         return describeStatus({
             self: this.#self,
             isReady: this.#isReady(),
@@ -592,7 +587,7 @@
             gossip: this.#gossip,
             members: this.#options.deployment?.members.map((m) => m.id) ?? [this.#self],
             bytes: [
-                served,
+                serverBytes,
                 this.#network.bytes,
                 ...[...this.#zones.values()].map((z) => z.workerBytes),
             ],
@@ -606,7 +601,7 @@
     }
 }
 
-function createLoneDeployment(options: EntryOptions, self: EntryId): Deployment {
+function createStandaloneDeployment(options: EntryOptions, self: EntryId): Deployment {
     const [zone] = options.inventory.zones;
     return {
         members: [
@@ -617,7 +612,7 @@
                 hasDisk: true,
             },
         ],
-        groups: [{ id: WHOLE_CELL, zones: options.inventory.zones }],
+        groups: [{ id: STANDALONE_GROUP, zones: options.inventory.zones }],
         callers: new Map(),
         timings: DEFAULT_TIMINGS,
     };
--- a/entry/errors.ts
+++ b/entry/errors.ts
@@ -55,11 +55,11 @@
     leader?: EntryId,
 ): MethodError {
     const data: NoLeaderData = { outcome, retryAfterMs: RETRY_AFTER_MS, leader };
-    const told =
+    const advice =
         outcome === "not_accepted"
             ? "not accepted; send it again later"
             : "it may have been accepted; send it again with the same key to find out";
-    return new MethodError(`${group} has no leader within reach: ${told}`, NO_LEADER_CODE, data);
+    return new MethodError(`${group} has no leader within reach: ${advice}`, NO_LEADER_CODE, data);
 }
 
 /**
@@ -82,7 +82,7 @@
  * @param error What the call threw.
  * @returns The error to answer with.
  */
-export function createLeaderError(group: GroupId, error: unknown): unknown {
+export function toRpcError(group: GroupId, error: unknown): unknown {
     if (error instanceof NotLeaderError) {
         return createNoLeaderError(group, "not_accepted");
     }
--- a/entry/hand_over_agent.ts
+++ b/entry/hand_over_agent.ts
@@ -39,7 +39,7 @@
 export type AdoptAnswer = "unknown" | "open" | HandOverAnswer;
 
 /** Another group's room. */
-export interface GroupRoom {
+export interface GroupCapacity {
     readonly group: GroupId;
     readonly freeCores: number;
 }
@@ -49,7 +49,7 @@
     readonly group: GroupId;
     readonly cell: Cell;
     /** Other groups that serve a service, with the room their leaders told of last. */
-    readonly listRoom: (service: string) => readonly GroupRoom[];
+    readonly listGroupCapacities: (service: string) => readonly GroupCapacity[];
     /** Sends requests to a group's leader; answers per item. */
     readonly sendAdopt: (
         to: GroupId,
@@ -58,28 +58,28 @@
     readonly propose: (createInput: (at: number) => CellInput) => Promise<unknown>;
 }
 
-interface Pending {
+interface PendingHandOver {
     handOver: HandOver;
     /** The other group has said that it knows the key. */
     isKnown: boolean;
 }
 
-const ROUND_MS = 100;
+const ROUND_INTERVAL_MS = 100;
 /** How often the other groups are asked after what they have, in ms. */
-const ASK_MS = 200;
-const MOST_PER_ROUND = 64;
+const POLL_INTERVAL_MS = 200;
+const MAX_HAND_OVERS_PER_ROUND = 64;
 /** What the other group may take of its told room in one round: others may hand over too. */
-const ROOM_SHARE = 0.5;
+const MAX_CAPACITY_SHARE = 0.5;
 /** The other group gives a request back when it could not place it within this time, in ms. */
-const ADOPT_WAIT_MS = 1_000;
+const ADOPTED_MAX_WAIT_MS = 1_000;
 
 /** Hands over and asks after one group's requests, while its leader is here. */
 export class HandOverAgent {
     readonly #options: HandOverAgentOptions;
-    readonly #pending = new Map<RequestId, Pending>();
-    #nextRoundAt = 0;
-    #nextAskAt = 0;
-    #isAsking = false;
+    readonly #pending = new Map<RequestId, PendingHandOver>();
+    #nextRoundAtMs = 0;
+    #nextPollAtMs = 0;
+    #isPolling = false;
 
     /**
      * @param options See {@link HandOverAgentOptions}.
@@ -113,46 +113,48 @@
      * @param at The cell's time, in ms.
      */
     runRound(at: number): void {
-        if (at < this.#nextRoundAt) {
+        if (at < this.#nextRoundAtMs) {
             return;
         }
-        this.#nextRoundAt = at + ROUND_MS;
+        this.#nextRoundAtMs = at + ROUND_INTERVAL_MS;
         this.#startHandOvers(at);
-        const isDue = at >= this.#nextAskAt || [...this.#pending.values()].some((p) => !p.isKnown);
-        if (this.#pending.size > 0 && isDue && !this.#isAsking) {
-            this.#nextAskAt = at + ASK_MS;
-            this.#isAsking = true;
-            void this.#sendAll().finally(() => {
-                this.#isAsking = false;
+        const isDue =
+            at >= this.#nextPollAtMs || [...this.#pending.values()].some((p) => !p.isKnown);
+        if (this.#pending.size > 0 && isDue && !this.#isPolling) {
+            this.#nextPollAtMs = at + POLL_INTERVAL_MS;
+            this.#isPolling = true;
+            void this.#sendPending().finally(() => {
+                this.#isPolling = false;
             });
         }
     }
 
     #startHandOvers(at: number): void {
-        const taken = new Map<GroupId, number>();
-        for (const request of this.#options.cell.listWaiting(at, MOST_PER_ROUND)) {
+        const assignedCores = new Map<GroupId, number>();
+        for (const request of this.#options.cell.listWaiting(at, MAX_HAND_OVERS_PER_ROUND)) {
             const { service, demand, count } = request.spec;
             const cores = demand.cores * count;
-            const room = this.#options
-                .listRoom(service)
+            const target = this.#options
+                .listGroupCapacities(service)
                 .map((r) => ({
                     group: r.group,
-                    left: r.freeCores * ROOM_SHARE - (taken.get(r.group) ?? 0),
+                    availableCores:
+                        r.freeCores * MAX_CAPACITY_SHARE - (assignedCores.get(r.group) ?? 0),
                 }))
-                .sort((a, b) => b.left - a.left)[0];
-            if (room === undefined || room.left < cores) {
+                .sort((a, b) => b.availableCores - a.availableCores)[0];
+            if (target === undefined || target.availableCores < cores) {
                 continue;
             }
-            taken.set(room.group, (taken.get(room.group) ?? 0) + cores);
+            assignedCores.set(target.group, (assignedCores.get(target.group) ?? 0) + cores);
             const { id } = request;
             this.#options
-                .propose((now) => ({ type: "handOver", at: now, request: id, to: room.group }))
+                .propose((now) => ({ type: "handOver", at: now, request: id, to: target.group }))
                 .catch(() => undefined);
         }
     }
 
-    async #sendAll(): Promise<void> {
-        const byGroup = new Map<string, [RequestId, Pending][]>();
+    async #sendPending(): Promise<void> {
+        const byGroup = new Map<string, [RequestId, PendingHandOver][]>();
         for (const [id, pending] of this.#pending) {
             const list = byGroup.get(pending.handOver.to) ?? [];
             list.push([id, pending]);
@@ -161,7 +163,7 @@
         await Promise.all([...byGroup].map(([to, list]) => this.#sendToGroup(to as GroupId, list)));
     }
 
-    async #sendToGroup(to: GroupId, list: readonly [RequestId, Pending][]): Promise<void> {
+    async #sendToGroup(to: GroupId, list: readonly [RequestId, PendingHandOver][]): Promise<void> {
         const items = list.map(([id, pending]) => this.#createItem(id, pending));
         const answers = await this.#options.sendAdopt(to, items).catch(() => undefined);
         if (answers === undefined) {
@@ -173,12 +175,12 @@
             const answer = answers[i];
             pending.isKnown = answer !== undefined && answer !== "unknown";
             if (typeof answer === "object") {
-                this.#handleEnd(id, pending.handOver.key, answer);
+                this.#handleResult(id, pending.handOver.key, answer);
             }
         });
     }
 
-    #createItem(id: RequestId, pending: Pending): AdoptItem {
+    #createItem(id: RequestId, pending: PendingHandOver): AdoptItem {
         const { key, isCancelled } = pending.handOver;
         const spec = pending.isKnown ? undefined : this.#options.cell.findSpec(id);
         return {
@@ -191,12 +193,12 @@
                           ...spec,
                           caller: `${ADOPTED_CALLER}${this.#options.group}`,
                           key,
-                          maxWaitMs: ADOPT_WAIT_MS,
+                          maxWaitMs: ADOPTED_MAX_WAIT_MS,
                       },
         };
     }
 
-    #handleEnd(request: RequestId, key: string, answer: HandOverAnswer): void {
+    #handleResult(request: RequestId, key: string, answer: HandOverAnswer): void {
         this.#options
             .propose((at) => ({ type: "handOverResult", at, request, key, answer }))
             .then(() => {
--- a/entry/worker_link.ts
+++ b/entry/lease_dispatcher.ts
@@ -5,7 +5,7 @@
  *
  * @example
  * ```ts
- * import { WorkerLink } from "./worker_link.ts";
+ * import { WorkerLink } from "./lease_dispatcher.ts";
  * const link = new WorkerLink({ isServing, onDeclined, log });
  * link.recordBeat(instance, sentAt);
  * link.sendGrants(leases);
@@ -27,8 +27,8 @@
     readonly reason: string;
 }
 
-/** Options of {@link WorkerLink}. */
-export interface WorkerLinkOptions {
+/** Options of {@link LeaseDispatcher}. */
+export interface LeaseDispatcherOptions {
     /** Whether this instance leads and nobody else can. */
     readonly isServing: () => boolean;
     /** A worker did not take an offer, and its task did not start. */
@@ -40,20 +40,20 @@
 type Stop = Extract<Effect, { type: "stop" }>;
 
 const CALL_TIMEOUT_MS = 2_000;
-const RETRIES = 5;
-const RETRY_MS = 200;
+const MAX_ATTEMPTS = 5;
+const RETRY_DELAY_MS = 200;
 
 /** The leader's connections to its workers. */
-export class WorkerLink {
-    readonly #options: WorkerLinkOptions;
+export class LeaseDispatcher {
+    readonly #options: LeaseDispatcherOptions;
     readonly #clients = new RpcClientPool({ timeoutMs: CALL_TIMEOUT_MS });
-    readonly #beats = new Map<InstanceId, number>();
-    #held: Grant[] = [];
+    readonly #lastHeartbeatAt = new Map<InstanceId, number>();
+    #deferredGrants: Grant[] = [];
 
     /**
-     * @param options See {@link WorkerLinkOptions}.
+     * @param options See {@link LeaseDispatcherOptions}.
      */
-    constructor(options: WorkerLinkOptions) {
+    constructor(options: LeaseDispatcherOptions) {
         this.#options = options;
     }
 
@@ -64,8 +64,8 @@
 
     /** Forgets everything: another instance leads now, and sends again what is unanswered. */
     close(): void {
-        this.#beats.clear();
-        this.#held = [];
+        this.#lastHeartbeatAt.clear();
+        this.#deferredGrants = [];
     }
 
     /**
@@ -74,16 +74,19 @@
      * @param instance The worker's instance.
      * @param sentAt When it was sent, by the worker's clock.
      */
-    recordBeat(instance: InstanceId, sentAt: number): void {
-        this.#beats.set(instance, Math.max(sentAt, this.#beats.get(instance) ?? 0));
+    recordHeartbeat(instance: InstanceId, sentAt: number): void {
+        this.#lastHeartbeatAt.set(
+            instance,
+            Math.max(sentAt, this.#lastHeartbeatAt.get(instance) ?? 0),
+        );
     }
 
     /** Sends the offers that waited for a heartbeat or for the leader's lease. */
-    sendHeld(): void {
-        if (this.#held.length > 0 && this.#options.isServing()) {
-            const held = this.#held;
-            this.#held = [];
-            this.sendGrants(held);
+    sendDeferred(): void {
+        if (this.#deferredGrants.length > 0 && this.#options.isServing()) {
+            const deferred = this.#deferredGrants;
+            this.#deferredGrants = [];
+            this.sendGrants(deferred);
         }
     }
 
@@ -94,7 +97,7 @@
      */
     sendGrants(grants: readonly Grant[]): void {
         const ready = grants.filter((g) => this.#isReady(g));
-        this.#held.push(...grants.filter((g) => !this.#isReady(g)));
+        this.#deferredGrants.push(...grants.filter((g) => !this.#isReady(g)));
         for (const [address, batch] of createBatches(ready)) {
             void this.#sendGrantBatch(
                 address,
@@ -125,7 +128,7 @@
     }
 
     #isReady(grant: Grant): boolean {
-        return this.#beats.has(grant.lease.instance) && this.#options.isServing();
+        return this.#lastHeartbeatAt.has(grant.lease.instance) && this.#options.isServing();
     }
 
     /**
@@ -139,7 +142,7 @@
         attempt: number,
     ): Promise<void> {
         const offers = leases.flatMap((lease): GrantMessage[] => {
-            const beatAt = this.#beats.get(lease.instance);
+            const beatAt = this.#lastHeartbeatAt.get(lease.instance);
             return beatAt === undefined ? [] : [{ ...lease, beatAt }];
         });
         if (offers.length === 0 || !this.#options.isServing()) {
@@ -160,10 +163,10 @@
                 attempt,
                 error: (error as Error).message,
             });
-            if (attempt + 1 < RETRIES) {
+            if (attempt + 1 < MAX_ATTEMPTS) {
                 setTimeout(
                     () => void this.#sendGrantBatch(address, leases, attempt + 1),
-                    RETRY_MS,
+                    RETRY_DELAY_MS,
                 ).unref();
             }
         }
--- a/entry/peer_api.ts
+++ b/entry/peer_api.ts
@@ -76,16 +76,16 @@
 
     #handleSubscribe(params: unknown): { readonly leader: EntryId | undefined } {
         const { group, member } = parseParams(subscribeSchema, params);
-        const kept = this.#options.getMember(group as GroupId);
-        return kept?.addLearner(member as MemberId) ?? { leader: undefined };
+        const localMember = this.#options.getMember(group as GroupId);
+        return localMember?.addLearner(member as MemberId) ?? { leader: undefined };
     }
 
     #handleForward(params: unknown): Promise<unknown> {
-        const { group, method, params: passedOn } = parseParams(forwardSchema, params);
+        const { group, method, params: forwardedParams } = parseParams(forwardSchema, params);
         return this.#options.router.runForwarded({
             group: group as GroupId,
             method,
-            params: passedOn,
+            params: forwardedParams,
         });
     }
 
--- a/entry/status.ts
+++ b/entry/status.ts
@@ -95,8 +95,8 @@
 
 function describeCells(cells: readonly Cell[]): CellStatus {
     const workers = cells.flatMap((c) => c.listWorkers());
-    const held = workers.reduce((sum, w) => sum + w.held.cores, 0);
-    const total = workers.reduce((sum, w) => sum + w.instance.capacity.cores, 0);
+    const heldCores = workers.reduce((sum, w) => sum + w.held.cores, 0);
+    const totalCores = workers.reduce((sum, w) => sum + w.instance.capacity.cores, 0);
     const requests: Record<string, number> = {};
     for (const [state, count] of cells.flatMap((c) => [...c.computeStates()])) {
         requests[state] = (requests[state] ?? 0) + count;
@@ -105,7 +105,7 @@
         requests,
         workersAlive: workers.filter((w) => w.alive).length,
         workers: workers.length,
-        packingCores: total === 0 ? 0 : held / total,
+        packingCores: totalCores === 0 ? 0 : heldCores / totalCores,
         counters: addCounters(cells.map((c) => c.counters)),
     };
 }
--- a/entry/worker_api.ts
+++ b/entry/worker_api.ts
@@ -23,8 +23,8 @@
     parseParams,
     reportSchema,
 } from "./api_schema.ts";
-import { createLeaderError, createNotLeaderError, NOT_FOUND_CODE } from "./errors.ts";
-import type { BeatsAnswer, ZoneGroup } from "./zone_group.ts";
+import { toRpcError, createNotLeaderError, NOT_FOUND_CODE } from "./errors.ts";
+import type { HeartbeatResponse, ZoneGroup } from "./zone_group.ts";
 
 /** Options of {@link WorkerApi}. */
 export interface WorkerApiOptions {
@@ -69,7 +69,7 @@
         return { ok: true };
     }
 
-    #handleHeartbeat(params: unknown): Promise<BeatsAnswer> {
+    #handleHeartbeat(params: unknown): Promise<HeartbeatResponse> {
         const { beats } = parseParams(heartbeatSchema, params);
         const typed = beats.map((beat) => ({
             ...beat,
@@ -80,7 +80,7 @@
                 usage: l.usage,
             })),
         }));
-        return this.#runForWorkers(typed, (zone) => zone.handleBeats(typed));
+        return this.#runForWorkers(typed, (zone) => zone.handleHeartbeats(typed));
     }
 
     async #handleReport(params: unknown): Promise<{ ok: true }> {
@@ -129,7 +129,7 @@
         try {
             return await run(zone);
         } catch (error) {
-            throw createLeaderError(group.id, error);
+            throw toRpcError(group.id, error);
         }
     }
 }
--- a/entry/zone_group.ts
+++ b/entry/zone_group.ts
@@ -46,7 +46,7 @@
     type HandOverAgentOptions,
 } from "./hand_over_agent.ts";
 import { GroupMember, LeaderClock, type GroupMemberOptions } from "../group/mod.ts";
-import { WorkerLink } from "./worker_link.ts";
+import { LeaseDispatcher } from "./lease_dispatcher.ts";
 
 /** What applying an input gave, or why it gave nothing; the same on every replica. */
 type CellResult =
@@ -62,7 +62,7 @@
     /** Heartbeats arriving within this many ms are renewed by one command. */
     readonly renewWindowMs?: number;
     /** See {@link HandOverAgentOptions}. */
-    readonly listRoom: HandOverAgentOptions["listRoom"];
+    readonly listGroupCapacities: HandOverAgentOptions["listGroupCapacities"];
     /** See {@link HandOverAgentOptions}. */
     readonly sendAdopt: HandOverAgentOptions["sendAdopt"];
     /** A request reached its end on this replica. */
@@ -70,7 +70,7 @@
 }
 
 /** A worker's heartbeat. */
-export interface Beat {
+export interface Heartbeat {
     readonly instance: InstanceId;
     readonly incarnation: string;
     /** When it was sent, by the worker's clock, in ms. */
@@ -79,7 +79,7 @@
 }
 
 /** A worker's report of a task. */
-export interface Report {
+export interface LeaseReport {
     readonly lease: LeaseId;
     readonly epoch: number;
     readonly report: TaskReport;
@@ -87,29 +87,29 @@
 }
 
 /** The answer to heartbeats. */
-export interface BeatsAnswer {
+export interface HeartbeatResponse {
     /** Workers that must announce themselves again (unknown here, or another process). */
     readonly announce: readonly InstanceId[];
     /** Leases that ended or were told to stop: the worker stops their tasks, renews none. */
     readonly ended: readonly LeaseId[];
 }
 
-const DEFAULT_TICK_MS = 10;
+const DEFAULT_TICK_INTERVAL_MS = 10;
 const DEFAULT_RENEW_WINDOW_MS = 100;
 
 /** One zone's group on one entry instance. */
 export class ZoneGroup {
     readonly #options: ZoneGroupOptions;
     readonly #clock = new LeaderClock();
-    readonly #workers: WorkerLink;
+    readonly #dispatcher: LeaseDispatcher;
     readonly #handOvers: HandOverAgent;
     readonly cell: Cell;
     readonly member: GroupMember<CellInput, CellResult>;
-    #ticks: Subscription | undefined;
+    #tickSubscription: Subscription | undefined;
     #isTicking = false;
     #lastTickAt = 0;
-    #adoption: Promise<unknown> | undefined;
-    #renewing = new Set<InstanceId>();
+    #rulesAdoption: Promise<unknown> | undefined;
+    #renewingWorkers = new Set<InstanceId>();
     #renewal: Promise<unknown> | undefined;
 
     /**
@@ -130,11 +130,11 @@
         this.#handOvers = new HandOverAgent({
             group: group.id,
             cell: this.cell,
-            listRoom: options.listRoom,
+            listGroupCapacities: options.listGroupCapacities,
             sendAdopt: options.sendAdopt,
             propose: (createInput) => this.#propose(createInput),
         });
-        this.#workers = new WorkerLink({
+        this.#dispatcher = new LeaseDispatcher({
             isServing: () => this.isServing,
             onDeclined: (lease, reason) =>
                 void this.#propose((at) => ({
@@ -168,7 +168,7 @@
 
     /** Bytes exchanged with workers by this side's calls. */
     get workerBytes(): { received: number; sent: number } {
-        return this.#workers.bytes;
+        return this.#dispatcher.bytes;
     }
 
     /** Stops the replica. */
@@ -217,10 +217,10 @@
      * @returns How each stands.
      */
     adopt(from: GroupId, items: readonly AdoptItem[]): Promise<AdoptAnswer[]> {
-        return Promise.all(items.map((item) => this.#adoptOne(from, item)));
+        return Promise.all(items.map((item) => this.#adoptItem(from, item)));
     }
 
-    async #adoptOne(from: GroupId, item: AdoptItem): Promise<AdoptAnswer> {
+    async #adoptItem(from: GroupId, item: AdoptItem): Promise<AdoptAnswer> {
         const known = this.cell.findByKey(`${ADOPTED_CALLER}${from}`, item.key);
         if (known === undefined && item.spec === undefined) {
             return "unknown";
@@ -247,14 +247,14 @@
         if (!this.isServing || config.rules.version <= this.cell.rules.version) {
             return;
         }
-        this.#adoption ??= this.#propose((at) => ({
+        this.#rulesAdoption ??= this.#propose((at) => ({
             type: "adoptRules",
             at,
             rules: config.rulesFile,
         })).finally(() => {
-            this.#adoption = undefined;
+            this.#rulesAdoption = undefined;
         });
-        await this.#adoption;
+        await this.#rulesAdoption;
     }
 
     /** Cores free for new work, for the other groups. */
@@ -280,8 +280,8 @@
                 this.#propose((at) => ({ type: "announce", at, instance, address, incarnation })),
             ),
         );
-        workers.forEach((w) => this.#workers.recordBeat(w.instance, w.sentAt));
-        this.#workers.sendHeld();
+        workers.forEach((w) => this.#dispatcher.recordHeartbeat(w.instance, w.sentAt));
+        this.#dispatcher.sendDeferred();
     }
 
     /**
@@ -303,16 +303,16 @@
      * @param beats The heartbeats.
      * @returns What the workers must do.
      */
-    async handleBeats(beats: readonly Beat[]): Promise<BeatsAnswer> {
+    async handleHeartbeats(beats: readonly Heartbeat[]): Promise<HeartbeatResponse> {
         const announce: InstanceId[] = [];
-        const waits: Promise<unknown>[] = [];
+        const proposals: Promise<unknown>[] = [];
         for (const beat of beats) {
             const worker = this.cell.findWorker(beat.instance);
             if (worker?.address === undefined || worker.incarnation !== beat.incarnation) {
                 announce.push(beat.instance);
                 continue;
             }
-            waits.push(
+            proposals.push(
                 this.cell.isRenewal(beat.instance, beat.leases)
                     ? this.#renew(beat.instance)
                     : this.#propose((at) => ({
@@ -323,9 +323,9 @@
                       })),
             );
         }
-        await Promise.all(waits);
-        beats.forEach((beat) => this.#workers.recordBeat(beat.instance, beat.sentAt));
-        this.#workers.sendHeld();
+        await Promise.all(proposals);
+        beats.forEach((beat) => this.#dispatcher.recordHeartbeat(beat.instance, beat.sentAt));
+        this.#dispatcher.sendDeferred();
         const ended = beats.flatMap((beat) => this.cell.listToStop(beat.leases));
         return { announce, ended };
     }
@@ -335,18 +335,18 @@
      *
      * @param reports The reports, in the order they happened.
      */
-    async handleReports(reports: readonly Report[]): Promise<void> {
+    async handleReports(reports: readonly LeaseReport[]): Promise<void> {
         await Promise.all(
             reports.map((r) => this.#propose((at) => ({ ...r, type: "report", at }))),
         );
     }
 
     #renew(instance: InstanceId): Promise<unknown> {
-        this.#renewing.add(instance);
+        this.#renewingWorkers.add(instance);
         this.#renewal ??= new Promise((resolve, reject) => {
             setTimeout(() => {
-                const workers = [...this.#renewing];
-                this.#renewing = new Set();
+                const workers = [...this.#renewingWorkers];
+                this.#renewingWorkers = new Set();
                 this.#renewal = undefined;
                 this.#propose((at) => ({ type: "renew", at, workers })).then(resolve, reject);
             }, this.#options.renewWindowMs ?? DEFAULT_RENEW_WINDOW_MS);
@@ -391,20 +391,20 @@
         setImmediate(() => {
             this.#propose((at) => ({ type: "takeover", at })).catch(() => undefined);
         });
-        this.#ticks?.unsubscribe();
-        this.#ticks = interval(this.#options.tickMs ?? DEFAULT_TICK_MS).subscribe(() =>
-            this.#runTick(),
-        );
+        this.#tickSubscription?.unsubscribe();
+        this.#tickSubscription = interval(
+            this.#options.tickMs ?? DEFAULT_TICK_INTERVAL_MS,
+        ).subscribe(() => this.#runTick());
     }
 
     #stopLeading(): void {
-        if (this.#ticks !== undefined) {
+        if (this.#tickSubscription !== undefined) {
             this.#options.log.info("leading no more", { group: this.#options.group.id });
         }
-        this.#ticks?.unsubscribe();
-        this.#ticks = undefined;
+        this.#tickSubscription?.unsubscribe();
+        this.#tickSubscription = undefined;
         this.#options.metrics.leading.set({ group: this.#options.group.id }, 0);
-        this.#workers.close();
+        this.#dispatcher.close();
         this.#handOvers.close();
     }
 
@@ -412,7 +412,7 @@
         if (!this.isServing) {
             return;
         }
-        this.#workers.sendHeld();
+        this.#dispatcher.sendDeferred();
         this.adoptRules().catch(() => undefined);
         this.#handOvers.runRound(this.#clock.getNow());
         if (!this.#isTicking && this.cell.hasTickWork(this.#clock.getNow())) {
@@ -433,21 +433,21 @@
     /** Places what a batch brought in the same round, unless a tick has just done so. */
     #createBatchTick(inputs: readonly CellInput[]): CellInput[] {
         const at = this.#clock.getNow();
-        const isDue = at - this.#lastTickAt >= (this.#options.tickMs ?? DEFAULT_TICK_MS);
-        const brings = inputs.some((i) => i.type === "submit" || i.type === "report");
-        return isDue && brings ? [this.#createTick(at)] : [];
+        const isDue = at - this.#lastTickAt >= (this.#options.tickMs ?? DEFAULT_TICK_INTERVAL_MS);
+        const hasPlacementWork = inputs.some((i) => i.type === "submit" || i.type === "report");
+        return isDue && hasPlacementWork ? [this.#createTick(at)] : [];
     }
 
     /** Only the leader acts on effects; every replica wakes those who wait for an end. */
     #handleEffects(effects: readonly Effect[]): void {
-        const leads = this.member.replica.role === "leader";
+        const isLeader = this.member.replica.role === "leader";
         const grants: Extract<Effect, { type: "grant" }>[] = [];
         const stops: Extract<Effect, { type: "stop" }>[] = [];
         for (const effect of effects) {
             if (effect.type === "final") {
                 this.#options.onFinal(effect.request);
             }
-            if (!leads) {
+            if (!isLeader) {
                 continue;
             }
             switch (effect.type) {
@@ -465,8 +465,8 @@
                     this.#recordEffect(effect);
             }
         }
-        this.#workers.sendGrants(grants);
-        this.#workers.sendStops(stops);
+        this.#dispatcher.sendGrants(grants);
+        this.#dispatcher.sendStops(stops);
     }
 
     #recordEffect(effect: Extract<Effect, { type: "fate" | "started" | "final" }>): void {
