--- a/entry/_cluster_fixtures.ts
+++ b/entry/_cluster_fixtures.ts
@@ -191,11 +191,11 @@
      * @returns The last answers.
      */
     async waitAll(): Promise<Answer[]> {
-        const until = Date.now() + SETTLE_TIMEOUT_MS;
+        const deadline = Date.now() + SETTLE_TIMEOUT_MS;
         return Promise.all(
             this.#sent.map(async ({ spec, answer }) => {
                 const first = (await answer) ?? (await this.#caller.submit(spec));
-                return this.#caller.waitFinal(first.requestId, until);
+                return this.#caller.waitFinal(first.requestId, deadline);
             }),
         );
     }
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -287,8 +287,11 @@
             );
         }
         const { spec } = parseParams(submitSchema, params);
-        const home = this.#layout.findHomeGroup(spec.caller, createId<ServiceId>(spec.service));
-        return this.#router.route(home, "request.submit", params);
+        const homeGroup = this.#layout.findHomeGroup(
+            spec.caller,
+            createId<ServiceId>(spec.service),
+        );
+        return this.#router.route(homeGroup, "request.submit", params);
     }
 
     /**
@@ -373,13 +376,13 @@
             throw createNotFoundError();
         }
         const { caller } = ref;
-        const homes = new Set(
+        const homeGroups = new Set(
             this.#options.inventory.services.map((s) => this.#layout.findHomeGroup(caller, s.id)),
         );
         let lastError: unknown = createNotFoundError();
-        for (const home of homes) {
+        for (const homeGroup of homeGroups) {
             try {
-                return await this.#router.route(home, method, params);
+                return await this.#router.route(homeGroup, method, params);
             } catch (error) {
                 if ((error as { code?: number }).code !== NOT_FOUND_CODE) {
                     lastError = error;
@@ -523,18 +526,18 @@
     }
 
     #updateGossip(): void {
-        const leads: LeadershipClaim[] = [];
+        const leadClaims: LeadershipClaim[] = [];
         for (const [group, zone] of this.#zones) {
             if (zone.isServing) {
                 const { term } = zone.member.replica;
-                leads.push({ group, term, freeCores: zone.freeCores });
+                leadClaims.push({ group, term, freeCores: zone.freeCores });
             }
         }
         if (this.#config.member.isServing) {
             const { term } = this.#config.member.replica;
-            leads.push({ group: this.#layout.config.id, term, freeCores: 0 });
+            leadClaims.push({ group: this.#layout.config.id, term, freeCores: 0 });
         }
-        this.#gossip.setLocalState(leads, !this.#isAccepting);
+        this.#gossip.setLocalState(leadClaims, !this.#isAccepting);
     }
 
     async #sendGossip(): Promise<void> {
@@ -570,8 +573,8 @@
     }
 
     async #waitServing(): Promise<void> {
-        const until = performance.now() + START_TIMEOUT_MS;
-        while (!this.isServing && performance.now() < until) {
+        const deadline = performance.now() + START_TIMEOUT_MS;
+        while (!this.isServing && performance.now() < deadline) {
             await new Promise((resolve) => setTimeout(resolve, 2));
         }
     }
--- a/entry/hand_over_agent.ts
+++ b/entry/hand_over_agent.ts
@@ -99,11 +99,11 @@
      * @param effect The cell's word.
      */
     handleEffect(effect: Extract<Effect, { type: "handOver" }>): void {
-        const known = this.#pending.get(effect.request);
-        const isSame = known?.handOver.key === effect.handOver.key;
+        const previous = this.#pending.get(effect.request);
+        const isSame = previous?.handOver.key === effect.handOver.key;
         this.#pending.set(effect.request, {
             handOver: effect.handOver,
-            isKnown: isSame && known.isKnown,
+            isKnown: isSame && previous.isKnown,
         });
     }
 
@@ -156,22 +156,25 @@
     async #sendPending(): Promise<void> {
         const byGroup = new Map<string, [RequestId, PendingHandOver][]>();
         for (const [id, pending] of this.#pending) {
-            const list = byGroup.get(pending.handOver.to) ?? [];
-            list.push([id, pending]);
-            byGroup.set(pending.handOver.to, list);
+            const entries = byGroup.get(pending.handOver.to) ?? [];
+            entries.push([id, pending]);
+            byGroup.set(pending.handOver.to, entries);
         }
         await Promise.all([...byGroup].map(([to, list]) => this.#sendToGroup(to as GroupId, list)));
     }
 
-    async #sendToGroup(to: GroupId, list: readonly [RequestId, PendingHandOver][]): Promise<void> {
-        const items = list.map(([id, pending]) => this.#createItem(id, pending));
+    async #sendToGroup(
+        to: GroupId,
+        entries: readonly [RequestId, PendingHandOver][],
+    ): Promise<void> {
+        const items = entries.map(([id, pending]) => this.#createItem(id, pending));
         const answers = await this.#options.sendAdopt(to, items).catch(() => undefined);
         if (answers === undefined) {
             // The group is out of reach or has no leader. What it was told of may run there, so
             // the requests stay in its care until it can say.
             return;
         }
-        list.forEach(([id, pending], i) => {
+        entries.forEach(([id, pending], i) => {
             const answer = answers[i];
             pending.isKnown = answer !== undefined && answer !== "unknown";
             if (typeof answer === "object") {
--- a/entry/zone_group.ts
+++ b/entry/zone_group.ts
@@ -221,14 +221,14 @@
     }
 
     async #adoptItem(from: GroupId, item: AdoptItem): Promise<AdoptAnswer> {
-        const known = this.cell.findByKey(`${ADOPTED_CALLER}${from}`, item.key);
-        if (known === undefined && item.spec === undefined) {
+        const knownRequest = this.cell.findByKey(`${ADOPTED_CALLER}${from}`, item.key);
+        if (knownRequest === undefined && item.spec === undefined) {
             return "unknown";
         }
         let answer =
-            known === undefined
+            knownRequest === undefined
                 ? await this.submit(item.spec as RequestSpec)
-                : this.cell.describeRequest(known);
+                : this.cell.describeRequest(knownRequest);
         if (answer !== undefined && item.isCancelled && !answer.final) {
             answer = await this.cancel(answer.requestId);
         }
