--- a/entry/_cluster_fixtures.ts
+++ b/entry/_cluster_fixtures.ts
@@ -1,13 +1,13 @@
 /**
- * Fixtures of the failure tests on real processes: small clusters, a caller that keeps sending
- * and resending, and the audit of everything that ran afterwards.
+ * Fixtures for failure tests on real processes: small clusters, a workload that submits and
+ * resubmits requests, and an audit of the merged event log.
  *
  * @example
  * ```ts
  * import { buildCluster, Workload } from "./_cluster_fixtures.ts";
- * const cluster = await buildCluster({ zones: ["z1"], perZone: 3 });
+ * const cluster = await buildCluster({ zones: ["z1"], entriesPerZone: 3 });
  * const workload = new Workload(cluster);
- * workload.start({ everyMs: 20 });
+ * workload.start({ intervalMs: 20 });
  * ```
  *
  * @module
@@ -33,18 +33,18 @@
 /** Options of {@link buildCluster}. */
 export interface ClusterFixtureOptions extends Partial<ClusterOptions> {
     readonly zones: readonly string[];
-    /** Entry instances per zone. */
     readonly entriesPerZone: number;
     readonly workers?: number;
-    /** Members without a disk, besides those with one, in the first zone. */
+    /** Additional members without a disk, in the first zone. */
     readonly diskless?: number;
 }
 
 /**
- * Builds and starts a cluster; instances are named `e-<zone>-<number>`.
+ * Builds and starts a cluster. Entry instances are named `e-<zone>-<number>`, diskless ones
+ * `d-<zone>-<number>`.
  *
- * @param options Zones, sizes.
- * @returns The cluster.
+ * @param options Zones and number of processes.
+ * @returns The running cluster.
  */
 export function buildCluster(options: ClusterFixtureOptions): Promise<Cluster> {
     const dir = mkdtempSync(join(tmpdir(), "poplarhead-cluster-"));
@@ -80,7 +80,7 @@
 }
 
 /**
- * Builds the rules of the tests as a file's contents.
+ * Builds the test rules in the format of a rules file.
  *
  * @returns The rules.
  */
@@ -88,18 +88,18 @@
     return createRulesFile(buildRulesFixture());
 }
 
-/** What a workload sends. */
+/** Rate and mix of the requests that a workload submits. */
 export interface WorkloadOptions {
-    /** A request every this many ms. */
+    /** Time between two requests, in ms. */
     readonly intervalMs: number;
-    /** Kinds in turn. */
+    /** Kinds to submit, in rotation. */
     readonly kinds?: readonly string[];
     readonly runMs?: number;
-    /** Cancel every n-th request right after it was accepted. */
+    /** Cancels every n-th request as soon as it is accepted. */
     readonly cancelEvery?: number;
 }
 
-/** A caller that sends requests at a pace and keeps what it was told. */
+/** Submits requests at a fixed rate and keeps every answer. */
 export class Workload {
     readonly #cluster: Cluster;
     readonly #caller: Caller;
@@ -110,7 +110,8 @@
 
     /**
      * @param cluster The cluster.
-     * @param options The caller's name, and the zone whose instances it reaches (all by default).
+     * @param options The caller's name, the zone whose instances it calls (all by default) and the
+     * resend interval in ms.
      */
     constructor(
         cluster: Cluster,
@@ -128,20 +129,20 @@
         });
     }
 
-    /** The caller. */
+    /** The client that submits the requests. */
     get caller(): Caller {
         return this.#caller;
     }
 
-    /** How many requests were sent. */
+    /** Number of requests submitted so far. */
     get count(): number {
         return this.#sent.length;
     }
 
     /**
-     * Starts sending.
+     * Starts submitting requests.
      *
-     * @param options The pace and the mix.
+     * @param options Rate and mix of the requests.
      */
     start(options: WorkloadOptions): void {
         const kinds = options.kinds ?? ["preview", "batch", "reel", "hero"];
@@ -159,17 +160,17 @@
         this.#timer.unref();
     }
 
-    /** Stops sending. */
+    /** Stops submitting requests. */
     stop(): void {
         clearInterval(this.#timer);
     }
 
     /**
-     * Sends one request.
+     * Submits one request.
      *
-     * @param overrides Its fields.
-     * @param isCancelled Whether it is cancelled right after it was accepted.
-     * @returns The first answer; `undefined` when none came in time.
+     * @param overrides Fields that differ from the default request.
+     * @param isCancelled Whether to cancel the request as soon as it is accepted.
+     * @returns The first answer, or `undefined` if the call failed or timed out.
      */
     submit(overrides: Partial<RequestSpec>, isCancelled = false): Promise<Answer | undefined> {
         const spec = buildSpec({
@@ -186,9 +187,9 @@
     }
 
     /**
-     * Waits for the end of every request; one without an answer is sent again with its key.
+     * Waits until every request is final; resubmits unanswered ones with the same idempotency key.
      *
-     * @returns The last answers.
+     * @returns The final answers.
      */
     async waitAll(): Promise<Answer[]> {
         const deadline = Date.now() + SETTLE_TIMEOUT_MS;
@@ -201,9 +202,9 @@
     }
 
     /**
-     * Waits for every end and checks every promise on the merged time line.
+     * Stops submitting, waits until every request is final, and audits the merged event log.
      *
-     * @returns The last answers, and a line per broken promise.
+     * @returns The final answers, and one line per violated guarantee.
      */
     async audit(): Promise<{ readonly answers: Answer[]; readonly violations: string[] }> {
         this.stop();
@@ -213,11 +214,11 @@
 }
 
 /**
- * Checks every promise on the cluster's merged time line.
+ * Audits the cluster's merged event log against the scheduler's guarantees.
  *
  * @param cluster The cluster.
- * @param answers What callers were told last.
- * @returns A line per broken promise.
+ * @param answers The final answers that callers received.
+ * @returns One line per violated guarantee.
  */
 export function auditAnswers(cluster: Cluster, answers: readonly Answer[]): string[] {
     const kinds = new Map(buildRulesFile().kinds.map((k) => [k.name, k]));
--- a/entry/api_schema.ts
+++ b/entry/api_schema.ts
@@ -1,6 +1,6 @@
 /**
- * Schemas of what callers, operators and workers send to an entry instance; every message is
- * checked before the cell sees it, and a bad one gets a clear error with every finding.
+ * Schemas for the JSON-RPC params that callers, operators, workers and peers send to an entry
+ * instance. Invalid params are rejected with a list of all issues.
  *
  * @example
  * ```ts
@@ -54,7 +54,7 @@
 /** `instance.drain`. */
 export const drainSchema = z.object({ instance: z.string().min(1) });
 
-/** `rules.check`: what a zone's group would say against rules. */
+/** `rules.check`: validates rules against the requests of a zone's group. */
 export const rulesCheckSchema = z.object({ rules: rulesSchema });
 
 /** `rules.set`. */
@@ -117,7 +117,7 @@
 /** `workers.leave`. */
 export const leaveSchema = z.object({ instances: z.array(z.string()).min(1) });
 
-/** `zone.adopt`: requests that another zone's group hands over, or asks after. */
+/** `zone.adopt`: requests that another zone's group hands over, or whose state it polls. */
 export const adoptSchema = z.object({
     from: z.string(),
     items: z
@@ -125,7 +125,7 @@
             z.object({
                 key: z.string(),
                 isCancelled: z.boolean(),
-                /** Left out when only asking after it. */
+                /** Omitted when only polling the request's state. */
                 spec: submitSchema.shape.spec.optional(),
             }),
         )
@@ -134,7 +134,7 @@
 
 const memberIdSchema = z.string().regex(/^[^#]+#[^#]+$/);
 
-/** `peer.group`: the message itself is trusted, it comes from our own processes. */
+/** `peer.group`: only the envelope is validated; messages come from trusted peers. */
 export const envelopeSchema = z.object({
     group: z.string(),
     from: memberIdSchema,
@@ -168,12 +168,12 @@
 });
 
 /**
- * Checks params against a schema.
+ * Validates params against a schema.
  *
  * @param schema The method's schema.
- * @param params What arrived.
- * @returns The typed params.
- * @throws {MethodError} Listing every finding (-32602, invalid params).
+ * @param params The params as received.
+ * @returns The typed params, with defaults filled in.
+ * @throws {MethodError} With code -32602 (invalid params), listing every issue.
  */
 export function parseParams<S extends z.ZodTypeAny>(schema: S, params: unknown): z.infer<S> {
     const parsed = schema.safeParse(params ?? {});
--- a/entry/call_router.ts
+++ b/entry/call_router.ts
@@ -1,6 +1,6 @@
 /**
- * Finds the instance that must serve a call and passes it on. A call that no leader within reach
- * can serve is answered at once, with whether it may have taken effect and when to come back.
+ * Routes a call to the leader of its group. If no leader is reachable, the call fails at once with
+ * an error that says whether it may have taken effect and when to retry.
  *
  * @example
  * ```ts
@@ -18,9 +18,9 @@
 import { createNoLeaderError, NO_LEADER_CODE, type NoLeaderData } from "./errors.ts";
 import type { PeerNetwork } from "../group/mod.ts";
 
-/** What the router needs of a local group member. */
+/** The view of a local group member that the router uses. */
 export interface LocalMember {
-    /** Waits until nobody else can lead; false when this member leads no more. */
+    /** Waits until this member holds the leader lease; false if it is not the leader. */
     readonly waitServing: () => Promise<boolean>;
     readonly leader: EntryId | undefined;
 }
@@ -30,13 +30,13 @@
     readonly self: EntryId;
     readonly network: PeerNetwork;
     readonly gossip: Gossip;
-    /** The local member of a group, if this instance keeps a replica. */
+    /** Returns the local member of a group, if this instance has a replica. */
     readonly getMember: (group: GroupId) => LocalMember | undefined;
-    /** Serves a call here; this instance leads the group. */
+    /** Executes a call locally; this instance must lead the group. */
     readonly runLocal: (group: GroupId, method: string, params: unknown) => Promise<unknown>;
 }
 
-/** A call passed on between entry instances. */
+/** A call forwarded from one entry instance to another. */
 export interface ForwardedCall {
     readonly group: GroupId;
     readonly method: string;
@@ -46,7 +46,7 @@
 const FORWARD_TIMEOUT_MS = 2_000;
 const MAX_FORWARD_ATTEMPTS = 3;
 
-/** Passes calls on to leaders. */
+/** Forwards calls to group leaders. */
 export class CallRouter {
     readonly #options: CallRouterOptions;
 
@@ -58,14 +58,14 @@
     }
 
     /**
-     * Serves a call here or at the leader. Every method that comes this way is safe to repeat,
-     * so a leader that does not answer is followed by the next candidate.
+     * Executes a call locally or forwards it to the leader. Routed methods are idempotent, so if a
+     * candidate does not answer, the next one is tried.
      *
-     * @param group The group that decides.
+     * @param group The group that owns the call.
      * @param method The method.
-     * @param params Its params.
-     * @returns The result.
-     * @throws {MethodError} The leader's error, or that none is within reach.
+     * @param params The method's params.
+     * @returns The method's result.
+     * @throws {MethodError} The leader's error, or that no leader is reachable.
      */
     async route(group: GroupLayout, method: string, params: unknown): Promise<unknown> {
         const isServing = await this.#options.getMember(group.id)?.waitServing();
@@ -97,11 +97,11 @@
     }
 
     /**
-     * Serves a call that another instance passed on; it is not passed on again.
+     * Executes a call that another instance forwarded. It is never forwarded again.
      *
-     * @param call The call.
-     * @returns The result.
-     * @throws {MethodError} The method's error, or that this instance does not lead.
+     * @param call The forwarded call.
+     * @returns The method's result.
+     * @throws {MethodError} The method's error, or that this instance is not the leader.
      */
     async runForwarded(call: ForwardedCall): Promise<unknown> {
         const member = this.#options.getMember(call.group);
@@ -112,7 +112,7 @@
         return this.#options.runLocal(call.group, call.method, call.params);
     }
 
-    /** The leader by the replica here, then by gossip, then the voters that are up. */
+    /** Lists the leader known to the local replica, the one from gossip, then live voters. */
     #listCandidates(group: GroupLayout): EntryId[] {
         const now = performance.now();
         const { gossip } = this.#options;
@@ -141,7 +141,7 @@
         }
     }
 
-    /** Tells a missing leader from the leader's own answer, which is passed on as it is. */
+    /** Returns the data of a no-leader error; rethrows the leader's own errors unchanged. */
     #readNoLeaderData(error: unknown): NoLeaderData | undefined {
         if (error instanceof RemoteMethodError) {
             throw new MethodError(error.rpcError.message, error.rpcError.code, error.rpcError.data);
@@ -151,7 +151,7 @@
     }
 }
 
-/** The leader answered with an error of its own. */
+/** Wraps an error that the leader itself returned for a forwarded call. */
 class RemoteMethodError extends Error {
     readonly rpcError: RpcError;
 
--- a/entry/call_router_test.ts
+++ b/entry/call_router_test.ts
@@ -8,7 +8,7 @@
 const GROUP = "hall-a" as GroupId;
 const LAYOUT: GroupLayout = { id: GROUP, zones: [], voters: [SELF], learners: [], quotaShare: 1 };
 
-/** A router on an instance that is the group's only voter; whoever it sends a call on to is not there. */
+/** Builds a router on the group's only voter, without any reachable peer. */
 function buildRouter(waitServing: () => Promise<boolean>): CallRouter {
     return new CallRouter({
         self: SELF,
@@ -20,8 +20,7 @@
 }
 
 test("a call that comes while the leader's lease has lapsed is served once it is back", async (t) => {
-    // The caller is told that no leader is within reach, by the leader. Its lease had lapsed in a long turn, the call was to be
-    // sent on, and the only instance to send it to was this one.
+    // Guards against a no-leader error from the leader itself while its lease has lapsed.
     const router = buildRouter(async () => {
         await new Promise((resolve) => setImmediate(resolve));
         return true;
--- a/entry/cluster_test.ts
+++ b/entry/cluster_test.ts
@@ -13,9 +13,7 @@
 test.serial(
     "kill -9 of the leader in the middle of handing out billed batches runs none twice and loses none",
     async (t) => {
-        // Callers go on sending batches while the leader's process is killed. Their resends reach
-        // the next leader, which knows every lease the first may have offered, asks the workers
-        // again about those without an answer, and never leases a batch a second time.
+        // The new leader must resolve open offers of billed batches, not lease them again.
         const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
         t.teardown(() => cluster.stop());
         const workload = new Workload(cluster);
@@ -36,9 +34,7 @@
 test.serial(
     "a leader frozen past its successor's election does no harm when it wakes",
     async (t) => {
-        // The leader's process is paused with leases on their way, its successor counts them lost or
-        // asks about them, and then it wakes believing that it still leads. Its offers name old
-        // heartbeats, its commits find no quorum, and callers get nothing from it but another leader.
+        // Guards against offers and commits from a leader that resumes with a stale term.
         const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
         t.teardown(() => cluster.stop());
         const workload = new Workload(cluster);
@@ -61,9 +57,7 @@
 test.serial(
     "a control instance cut off silently for long changes nothing and follows again",
     async (t) => {
-        // The leader is cut off from the others and from the workers' calls without any connection
-        // closing; it can still reach the workers. Callers that hit it are told at once that no
-        // leader is within reach. After the cut it takes the log of the term it missed.
+        // The partition leaves connections open, and the leader still reaches workers.
         const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
         t.teardown(() => cluster.stop());
         const workload = new Workload(cluster);
@@ -95,9 +89,7 @@
 test.serial(
     "a second instance is lost right after the first one's disk was replaced",
     async (t) => {
-        // One instance loses its disk and comes back empty; the group takes it in as a new member and
-        // drops the old one. Then another dies. The replaced member must count for the quorum, and
-        // must hold what was accepted before it came, or accepted work would be gone.
+        // Guards against a quorum that counts a replaced member before it holds the accepted log.
         const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
         t.teardown(() => cluster.stop());
         const workload = new Workload(cluster);
@@ -130,9 +122,7 @@
 test.serial(
     "an instance that comes back after hundreds of changes catches up from a snapshot",
     async (t) => {
-        // While it is down, hundreds of requests and rules changes pass it by and the others drop the
-        // entries behind their snapshots. It must take the snapshot, then the entries after it, and
-        // know the newest rules; then it must be able to lead.
+        // The other instances have compacted the entries that the restarted one lacks.
         const cluster = await buildCluster({
             zones: [ZONE],
             entriesPerZone: 3,
@@ -180,9 +170,7 @@
 test.serial(
     "waves of cancellations, impossible jobs and a worker that fails everything",
     async (t) => {
-        // A third of the requests are cancelled at once, some jobs can never run, and one worker
-        // fails all it starts. Every request still gets a true end: impossible ones refused at once,
-        // cancelled ones cancelled or completed, and idempotent ones run elsewhere.
+        // Every request must become final, and idempotent ones must be retried on other workers.
         const cluster = await buildCluster({
             zones: [ZONE],
             entriesPerZone: 3,
@@ -207,9 +195,7 @@
 test.serial(
     "each instance in turn is stopped gracefully and started again; no request is cut off",
     async (t) => {
-        // A rolling restart under load. An instance that stops answers what it owes, refuses new
-        // calls with "send elsewhere", and its followers elect; callers see delays but every request
-        // completes, and none runs twice.
+        // Guards against calls that a graceful shutdown drops during a rolling restart under load.
         const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3, diskless: 1 });
         t.teardown(() => cluster.stop());
         const workload = new Workload(cluster);
@@ -238,9 +224,7 @@
 test.serial(
     "a cut-off zone goes on placing its own work; rules and answers meet after the cut",
     async (t) => {
-        // Zone z1 is cut off from the others. Its callers' requests are accepted and run by its own
-        // instances and workers, as are the others' by theirs; a rules change is in force on the
-        // majority side at once and in z1 after the cut. Nothing runs twice.
+        // Rules changes need the majority side; z1 adopts them after the partition heals.
         const zones = ["z1", "z2", "z3"];
         const cluster = await buildCluster({
             zones,
@@ -298,9 +282,7 @@
 test.serial(
     "a zone without room hands work to zones that have it, and a cut in the middle runs none twice",
     async (t) => {
-        // Every caller is at home in z1, whose two workers are soon full; z2 and z3 are idle. Work
-        // is handed over, z1 is cut off with requests in the others' care, and the cut heals. What
-        // z1 could not hear of stays "handed" until it hears; no batch runs in two zones.
+        // All callers belong to z1, which has too few workers; z2 and z3 are idle.
         const zones = ["z1", "z2", "z3"];
         const cluster = await buildCluster({
             zones,
@@ -329,9 +311,7 @@
 test.serial(
     "operators race on different instances with equal versions: one winner, in force everywhere",
     async (t) => {
-        // Two operators send different rules for version 1 through different instances at once, and
-        // resend after lost answers. One is applied, the other told of the conflict, and every
-        // instance and zone has the winner's rules, also after the leader that decided died.
+        // Guards against applying a change twice, and against losing it with the leader.
         const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
         t.teardown(() => cluster.stop());
         const entries = cluster.listEntries().split(",");
--- a/entry/completion_waiters.ts
+++ b/entry/completion_waiters.ts
@@ -1,10 +1,10 @@
 /**
- * Callers that wait for a request's end at this instance.
+ * Tracks the calls on this instance that wait for a request to become final.
  *
  * @example
  * ```ts
- * import { EndWaiters } from "./completion_waiters.ts";
- * const waiters = new EndWaiters();
+ * import { CompletionWaiters } from "./completion_waiters.ts";
+ * const waiters = new CompletionWaiters();
  * await waiters.wait(request, 5_000, () => isFinal(request));
  * ```
  *
@@ -13,16 +13,16 @@
 
 import type { RequestId } from "../inventory/mod.ts";
 
-/** Waiting callers, by request. */
+/** Pending waits, by request. */
 export class CompletionWaiters {
     readonly #waitersByRequest = new Map<RequestId, Set<() => void>>();
 
     /**
-     * Waits until a request ends, the time runs out, or everybody is woken.
+     * Waits until the request is final, the timeout elapses, or all waits are woken.
      *
      * @param request The request.
-     * @param timeoutMs The longest wait, in ms.
-     * @param isFinal Tells whether it has ended already.
+     * @param timeoutMs The maximum wait, in ms.
+     * @param isFinal Returns whether the request is already final.
      */
     async wait(request: RequestId, timeoutMs: number, isFinal: () => boolean): Promise<void> {
         if (isFinal()) {
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Wakes those that wait for a request.
+     * Wakes the waits for one request.
      *
      * @param request The request.
      */
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Wakes everybody: the instance shuts down. */
+    /** Wakes all waits, for shutdown. */
     wakeAll(): void {
         for (const request of [...this.#waitersByRequest.keys()]) {
             this.wake(request);
--- a/entry/config_group.ts
+++ b/entry/config_group.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration group: one order of rules changes for the whole cell. Every entry instance
- * keeps a replica; the leader of each zone's group carries the newest rules into its own log.
+ * The configuration group: a replicated log that orders rules changes for the whole cell. Every
+ * entry instance has a replica; zone leaders copy the newest rules into their group's log.
  *
  * @example
  * ```ts
@@ -16,7 +16,7 @@
 import { createRulesFile, type RulesFile } from "../rules/rules_file.ts";
 import { GroupMember, type GroupMemberOptions } from "../group/mod.ts";
 
-/** A change with what the zones' groups said against it. */
+/** A rules change with the problems that the zones' groups reported. */
 interface ConfigCommand {
     readonly change: RulesChange;
     readonly problems: readonly string[];
@@ -27,17 +27,17 @@
     GroupMemberOptions<ConfigCommand, RulesChangeResult>,
     "machine"
 > {
-    /** The rules that the cell starts with; later ones come from the log. */
+    /** Initial rules; later versions come from the log. */
     readonly rules: Rules;
 }
 
-/** This instance's part in the configuration group. */
+/** This instance's replica of the configuration group. */
 export class ConfigGroup {
     readonly #book: RulesBook;
     readonly member: GroupMember<ConfigCommand, RulesChangeResult>;
 
     /**
-     * @param options Identity, network, first rules; see {@link ConfigGroupOptions}.
+     * @param options Identity, network, initial rules; see {@link ConfigGroupOptions}.
      */
     constructor(options: ConfigGroupOptions) {
         const book = new RulesBook(options.rules);
@@ -52,22 +52,22 @@
         });
     }
 
-    /** The newest rules this instance knows of. */
+    /** The newest rules applied on this replica. */
     get rules(): Rules {
         return this.#book.rules;
     }
 
-    /** The same as a file's contents, for the zones' groups. */
+    /** The newest rules in the format of a rules file. */
     get rulesFile(): RulesFile {
         return createRulesFile(this.#book.rules);
     }
 
     /**
-     * Proposes a change; this instance must lead.
+     * Proposes a rules change; this instance must be the leader.
      *
      * @param change The change.
-     * @param problems What the zones' groups said against it.
-     * @returns Applied, a conflict, or rejected.
+     * @param problems Problems that the zones' groups reported; any of them rejects the change.
+     * @returns Whether the change was applied, rejected, or conflicts with a newer version.
      */
     setRules(change: RulesChange, problems: readonly string[]): Promise<RulesChangeResult> {
         return this.member.replica.propose({ change, problems });
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -1,7 +1,6 @@
 /**
- * The entry instance: one process that serves callers, operators and workers over JSON-RPC. It
- * keeps a replica of the configuration group and of its zone's group, leads them when elected,
- * and passes calls on to the leaders of other zones. One event loop.
+ * The entry instance: a process that serves callers, operators and workers over JSON-RPC. It has
+ * replicas of the configuration group and its zone's group and forwards calls to other leaders.
  *
  * @example
  * ```ts
@@ -59,40 +58,40 @@
 import { WorkerApi } from "./worker_api.ts";
 import { ZoneGroup } from "./zone_group.ts";
 
-/** Options of an entry instance. */
+/** Options of {@link EntryInstance}. */
 export interface EntryOptions {
     readonly inventory: Inventory;
-    /** The rules the cell starts with; once it runs, its own log has newer ones. */
+    /** Initial rules; later versions come from the configuration group's log. */
     readonly rules: Rules;
-    /** The entry instances; without them this one is the whole cell. */
+    /** The entry instances and groups of the cell; standalone if omitted. */
     readonly deployment?: Deployment;
-    /** The whole cell starts for the first time, with empty disks (always so when alone). */
+    /** Whether the cell starts for the first time, with empty disks; default: if standalone. */
     readonly bootstrap?: boolean;
     readonly host?: string;
-    /** 0 takes a free port. */
+    /** Port to listen on; 0 selects a free port. */
     readonly port?: number;
     readonly zone?: string;
     readonly processId?: string;
-    /** Where the groups' logs live; without it the state lives in memory only. */
+    /** Directory of the groups' logs; state is kept in memory only if omitted. */
     readonly dataDir?: string;
-    /** How often the cell places queued work, in ms. */
+    /** Interval at which the cell places queued work, in ms. */
     readonly tickMs?: number;
     readonly leaseTtlMs?: number;
     readonly leaseGraceMs?: number;
-    /** Inputs arriving within this many ms share one entry and one fsync. */
+    /** Inputs that arrive within this window, in ms, share one log entry and one fsync. */
     readonly syncWindowMs?: number;
-    /** A snapshot is taken after this many entries. */
+    /** Number of log entries between snapshots. */
     readonly snapshotEvery?: number;
     readonly logger?: Logger;
 }
 
 const GOSSIP_INTERVAL_MS = 500;
-/** How long a leader holds a wait that another instance passed on, in ms. */
+/** Maximum time that a leader holds a forwarded `request.wait`. */
 const MAX_FORWARDED_WAIT_MS = 1_500;
 const START_TIMEOUT_MS = 10_000;
 const STANDALONE_GROUP = "cell" as GroupId;
 
-/** One entry instance. */
+/** An entry instance: JSON-RPC server, replicas and gossip. */
 export class EntryInstance {
     readonly #options: EntryOptions;
     readonly #self: EntryId;
@@ -110,7 +109,7 @@
     #isAccepting = false;
 
     /**
-     * @param options Inventory, rules, deployment, where to listen; see {@link EntryOptions}.
+     * @param options Inventory, rules, deployment, listen address; see {@link EntryOptions}.
      */
     constructor(options: EntryOptions) {
         this.#options = options;
@@ -176,7 +175,7 @@
         });
     }
 
-    /** The cell of the first group this instance keeps (read it only, in tests and tools). */
+    /** The cell of the first zone replica; for read-only use in tests and tools. */
     get cell(): Cell {
         const [zone] = this.#zones.values();
         if (zone === undefined) {
@@ -185,7 +184,7 @@
         return zone.cell;
     }
 
-    /** Whether this instance leads every group it keeps (a lone instance, once it started). */
+    /** Whether this instance leads every group that it has a replica of. */
     get isServing(): boolean {
         return (
             this.#config.member.isServing &&
@@ -194,10 +193,10 @@
     }
 
     /**
-     * Restores the replicas, starts the server and the groups. A lone instance serves when this
-     * returns; one of several may still be electing.
+     * Starts the server, the replicas and gossip. A standalone instance waits until it leads; in a
+     * deployment, elections may still be in progress on return.
      *
-     * @returns The address the instance listens on.
+     * @returns The address that the instance listens on.
      */
     async start(): Promise<string> {
         this.#server = await startRpcServer({
@@ -232,9 +231,8 @@
     }
 
     /**
-     * Shuts down without cutting off any request in flight: readiness turns false first, new
-     * submits are refused at once with a code that says to resend elsewhere, waiting callers
-     * get the answer as it stands, every answer already owed is sent, then the replicas stop.
+     * Shuts down gracefully: fails the readiness check, refuses new submits, answers waiting
+     * callers with the current state, completes the calls in flight, then stops the replicas.
      */
     async stop(): Promise<void> {
         this.#isAccepting = false;
@@ -277,7 +275,7 @@
         };
     }
 
-    // Callers' and operators' calls.
+    // Calls from callers and operators.
 
     async #handleSubmit(params: unknown): Promise<unknown> {
         if (!this.#isAccepting) {
@@ -295,8 +293,8 @@
     }
 
     /**
-     * Tells a request's fate. An end state never changes, so any replica may tell it; what is
-     * not final yet is asked of the leader, because a replica may lag.
+     * Returns a request's state. Final states never change, so any replica can return them; other
+     * states come from the leader, because a replica may lag.
      */
     async #getAnswer(params: unknown): Promise<Answer> {
         const local = this.#findLocalAnswer(params);
@@ -307,8 +305,8 @@
     }
 
     /**
-     * Answers when the request is final, or when the wait runs out, whichever is first. The
-     * replica here wakes the wait, so that the leader need not hold every caller's connection.
+     * Waits until the request is final or the timeout elapses. The local replica wakes the wait, so
+     * that the leader need not hold every caller's connection.
      */
     async #waitAnswer(params: unknown): Promise<Answer> {
         const { timeoutMs } = parseParams(requestRefSchema, params);
@@ -327,8 +325,8 @@
     }
 
     /**
-     * Waits for a request whose group has no replica here: its leader holds the wait. Asking for
-     * the state again and again instead sent every waiting request's whole time line each time.
+     * Waits for a request whose group has no local replica, by long polling its leader, which
+     * avoids transferring the request's whole history repeatedly.
      */
     async #pollAnswer(id: RequestId, deadline: number): Promise<Answer> {
         for (;;) {
@@ -362,7 +360,7 @@
         return owner === undefined ? undefined : this.#zones.get(owner.id);
     }
 
-    /** A reference by key may be at home in any group that the caller's requests go to. */
+    /** Routes by request id; a reference by key is tried in every home group of the caller. */
     async #routeRequest(method: string, params: unknown): Promise<unknown> {
         const ref = parseParams(requestRefSchema, params);
         if (ref.requestId !== undefined) {
@@ -402,7 +400,7 @@
         return this.#router.route(group, method, params);
     }
 
-    // What this instance serves as the leader of a group.
+    // Calls that this instance executes as the leader of a group.
 
     async #runLocal(group: GroupId, method: string, params: unknown): Promise<unknown> {
         try {
@@ -422,8 +420,8 @@
         const { change } = parseParams(rulesChangeSchema, params);
         const problems = await this.#listRulesProblems(change);
         const result = await this.#config.setRules(change, problems);
-        // In force in the zones led here before the operator hears of it; elsewhere within the
-        // next tick of each zone's leader.
+        // Zones led by this instance adopt the rules before the operator gets the result; other
+        // zones adopt them in the next tick of their leader.
         await Promise.all([...this.#zones.values()].map((z) => z.adoptRules())).catch(
             (error: Error) => this.#log.warn("rules not adopted yet", { error: error.message }),
         );
@@ -431,8 +429,8 @@
     }
 
     /**
-     * Asks every zone's group what would break. A zone that is cut off cannot object: it keeps
-     * kinds that a change drops for the requests that still need them.
+     * Asks every zone's group to validate the rules. An unreachable zone reports no problems: it
+     * keeps removed kinds for the requests that still use them.
      */
     async #listRulesProblems(change: RulesChange): Promise<string[]> {
         const answers = await Promise.all(
@@ -480,7 +478,7 @@
         }
     }
 
-    /** Other groups with workers of a service, and the room their leaders told of last. */
+    /** Lists the other groups with workers of a service, with their last announced free cores. */
     #listGroupCapacities(ownGroup: GroupId, service: string): GroupCapacity[] {
         const zones = this.#options.inventory.services.find((s) => s.id === service)?.zones ?? [];
         const now = performance.now();
@@ -564,7 +562,7 @@
             : this.#zones.get(group)?.member;
     }
 
-    /** Ready while it accepts work and some leader is known for each zone it keeps. */
+    /** Returns whether it accepts work and knows a leader for each of its zone replicas. */
     #isReady(): boolean {
         return (
             this.#isAccepting &&
--- a/entry/entry_test.ts
+++ b/entry/entry_test.ts
@@ -14,8 +14,6 @@
 }
 
 test("requests run end to end over loopback, and a restarted entry instance remembers them", async (t) => {
-    // The caller sees every request completed; after the entry instance stops and a new one
-    // replays the log from the same data folder, the same request ids tell the same fates.
     const dataDir = mkdtempSync(join(tmpdir(), "poplarhead-test-"));
     const inventory = buildInventoryFixture({ workers: 3 });
     const rules = buildRulesFixture();
@@ -62,8 +60,7 @@
 });
 
 test("a stopping entry instance answers new submits at once with a code that says resend elsewhere", async (t) => {
-    // The caller of a submit that arrives during shutdown gets an immediate error it can act
-    // on (resend to another entry instance), never a hung connection; readiness is false first.
+    // Guards against submits that hang while the instance shuts down.
     const inventory = buildInventoryFixture({ workers: 1 });
     const entry = new EntryInstance({
         inventory,
@@ -79,8 +76,7 @@
 });
 
 test("a log whose last line was torn by a crash replays the rest", async (t) => {
-    // The process died mid-write: the torn line was never fsynced, so no caller was answered for
-    // it. Replay drops it and keeps every earlier input.
+    // A torn line was never fsynced, so no caller has an answer that depends on it.
     const dataDir = mkdtempSync(join(tmpdir(), "poplarhead-torn-"));
     const inventory = buildInventoryFixture({ workers: 1 });
     const entry = new EntryInstance({
--- a/entry/errors.ts
+++ b/entry/errors.ts
@@ -1,5 +1,5 @@
 /**
- * The errors that callers, operators and workers get from an entry instance, by code.
+ * Error codes and errors that an entry instance returns to callers, operators and workers.
  *
  * @example
  * ```ts
@@ -14,39 +14,39 @@
 import type { EntryId } from "../membership/mod.ts";
 import { MethodError } from "../rpc/mod.ts";
 
-/** The instance is shutting down: send to another entry instance. */
+/** The instance is shutting down; resend to another entry instance. */
 export const SHUTTING_DOWN_CODE = -32001;
-/** An idempotency key was reused for another request. */
+/** An idempotency key was reused for a different request. */
 export const KEY_CONFLICT_CODE = -32002;
-/** No such request. */
+/** The request, lease or instance does not exist. */
 export const NOT_FOUND_CODE = -32004;
-/** The group that must decide has no leader within reach: come back after `retryAfterMs`. */
+/** The group has no reachable leader; retry after `retryAfterMs`. */
 export const NO_LEADER_CODE = -32005;
-/** This instance does not lead the worker's group; `leader` may name the one that does. */
+/** This instance does not lead the worker's group; `leader` names the one that does, if known. */
 export const NOT_LEADER_CODE = -32007;
 
 const RETRY_AFTER_MS = 500;
 
-/** What {@link NO_LEADER_CODE} and {@link NOT_LEADER_CODE} carry for the caller's program. */
+/** Data of errors with {@link NO_LEADER_CODE} or {@link NOT_LEADER_CODE}. */
 export interface NoLeaderData {
     /**
-     * `not_accepted`: the call took no effect and never will. `unknown`: it may have; a resend
-     * with the same key finds out and never runs the work twice.
+     * `not_accepted`: the call took no effect and never will. `unknown`: it may have taken effect;
+     * a resend with the same idempotency key returns the outcome and never runs the work twice.
      */
     readonly outcome: "not_accepted" | "unknown";
-    /** When to come back, in ms. */
+    /** Delay before the next attempt, in ms. */
     readonly retryAfterMs: number;
-    /** The leader, where known. */
+    /** The leader, if known. */
     readonly leader: EntryId | undefined;
 }
 
 /**
- * Creates the error for a call whose group has no leader within reach. It is given at once:
- * the caller is told when to come back, never kept waiting until its deadline.
+ * Creates the error for a call whose group has no reachable leader. It carries a retry delay, so
+ * the caller need not wait for its deadline.
  *
  * @param group The group.
  * @param outcome Whether the call may have taken effect.
- * @param leader The leader, where known.
+ * @param leader The leader, if known.
  * @returns The error.
  */
 export function createNoLeaderError(
@@ -63,10 +63,10 @@
 }
 
 /**
- * Creates the error for a worker's call at an instance that does not lead its group.
+ * Creates the error for a worker's call to an instance that does not lead the worker's group.
  *
  * @param group The group.
- * @param leader The leader, where known.
+ * @param leader The leader, if known.
  * @returns The error.
  */
 export function createNotLeaderError(group: GroupId, leader: EntryId | undefined): MethodError {
@@ -75,12 +75,12 @@
 }
 
 /**
- * Creates the error for a call whose leader lost its lead under it: it tells whether the call can
- * still take effect. Other errors stay as they are.
+ * Converts an error from a lost leadership to one that says whether the call may have taken
+ * effect. Returns other errors unchanged.
  *
  * @param group The group.
- * @param error What the call threw.
- * @returns The error to answer with.
+ * @param error The error that the call threw.
+ * @returns The error to send to the caller.
  */
 export function toRpcError(group: GroupId, error: unknown): unknown {
     if (error instanceof NotLeaderError) {
--- a/entry/hand_over_agent.ts
+++ b/entry/hand_over_agent.ts
@@ -1,11 +1,11 @@
 /**
- * The leader's part in handing requests over to other zones' groups: choose requests that wait
- * and a group with room, tell that group, and ask after the requests until each has ended.
+ * Hands waiting requests over to other zones' groups with free capacity, and polls those groups
+ * until every request is final. Runs on the leader.
  *
  * @example
  * ```ts
  * import { HandOverAgent } from "./hand_over_agent.ts";
- * const agent = new HandOverAgent({ group, cell, listRoom, sendAdopt, propose });
+ * const agent = new HandOverAgent({ group, cell, listGroupCapacities, sendAdopt, propose });
  * agent.runRound(at);
  * ```
  *
@@ -24,21 +24,21 @@
 import type { RequestId } from "../inventory/mod.ts";
 import type { GroupId } from "../log/mod.ts";
 
-/** A request on its way to another group. */
+/** A request that is handed over to another group. */
 export interface AdoptItem {
     readonly key: string;
     readonly isCancelled: boolean;
-    /** Left out when only asking after it. */
+    /** Omitted when only polling the request's state. */
     readonly spec: RequestSpec | undefined;
 }
 
 /**
- * How a request stands in the other group: `unknown` for a key that came without a request. Only
- * an end is told in full; what still runs is asked after often, and must stay short.
+ * State of a request in the other group: `unknown` for an unknown key without a spec, `open` until
+ * the request is final, then the full result.
  */
 export type AdoptAnswer = "unknown" | "open" | HandOverAnswer;
 
-/** Another group's room. */
+/** Free capacity of another group. */
 export interface GroupCapacity {
     readonly group: GroupId;
     readonly freeCores: number;
@@ -48,9 +48,9 @@
 export interface HandOverAgentOptions {
     readonly group: GroupId;
     readonly cell: Cell;
-    /** Other groups that serve a service, with the room their leaders told of last. */
+    /** Lists the other groups that run a service, with their last announced capacity. */
     readonly listGroupCapacities: (service: string) => readonly GroupCapacity[];
-    /** Sends requests to a group's leader; answers per item. */
+    /** Sends requests to a group's leader; returns one answer per item, in order. */
     readonly sendAdopt: (
         to: GroupId,
         items: readonly AdoptItem[],
@@ -60,20 +60,19 @@
 
 interface PendingHandOver {
     handOver: HandOver;
-    /** The other group has said that it knows the key. */
+    /** Whether the other group has confirmed the key. */
     isKnown: boolean;
 }
 
 const ROUND_INTERVAL_MS = 100;
-/** How often the other groups are asked after what they have, in ms. */
 const POLL_INTERVAL_MS = 200;
 const MAX_HAND_OVERS_PER_ROUND = 64;
-/** What the other group may take of its told room in one round: others may hand over too. */
+/** Share of a group's announced capacity to use in one round; other groups may use it too. */
 const MAX_CAPACITY_SHARE = 0.5;
-/** The other group gives a request back when it could not place it within this time, in ms. */
+/** Time after which the other group returns a request that it cannot place. */
 const ADOPTED_MAX_WAIT_MS = 1_000;
 
-/** Hands over and asks after one group's requests, while its leader is here. */
+/** Hands over and polls one group's requests while this instance leads the group. */
 export class HandOverAgent {
     readonly #options: HandOverAgentOptions;
     readonly #pending = new Map<RequestId, PendingHandOver>();
@@ -88,15 +87,15 @@
         this.#options = options;
     }
 
-    /** Forgets everything: another instance leads now. */
+    /** Clears all state on loss of leadership. */
     close(): void {
         this.#pending.clear();
     }
 
     /**
-     * Notes a request that another group is to take or withdraw.
+     * Records a request that another group must adopt or cancel.
      *
-     * @param effect The cell's word.
+     * @param effect The hand-over effect from the cell.
      */
     handleEffect(effect: Extract<Effect, { type: "handOver" }>): void {
         const previous = this.#pending.get(effect.request);
@@ -108,7 +107,7 @@
     }
 
     /**
-     * Does what is due.
+     * Starts new hand-overs and polls the pending ones, if due.
      *
      * @param at The cell's time, in ms.
      */
@@ -170,8 +169,8 @@
         const items = entries.map(([id, pending]) => this.#createItem(id, pending));
         const answers = await this.#options.sendAdopt(to, items).catch(() => undefined);
         if (answers === undefined) {
-            // The group is out of reach or has no leader. What it was told of may run there, so
-            // the requests stay in its care until it can say.
+            // The group is unreachable or has no leader. Its requests may be running there, so they
+            // stay handed over until it answers.
             return;
         }
         entries.forEach(([id, pending], i) => {
--- a/entry/invariants_test.ts
+++ b/entry/invariants_test.ts
@@ -24,9 +24,7 @@
 }
 
 test("an upstream that announced its leaving gets no new lease", async (t) => {
-    // The worker host of w1 announces that it leaves; then ten previews arrive. The caller sees
-    // all ten completed, every one on w2: the cell drains w1 the moment the announcement is
-    // taken, so a leaving upstream receives no work at all, well within the few seconds allowed.
+    // Guards against placements on a worker that is already shutting down.
     const inventory = buildInventoryFixture({ workers: 2 });
     const entry = new EntryInstance({
         inventory,
@@ -66,10 +64,7 @@
 });
 
 test("operators racing with equal versions get one winner; a resend is applied once; it never reverts", async (t) => {
-    // Two operators both send a change that replaces version 1. The first taken wins (version
-    // 2); the second gets a conflict naming the version in force. The winner resends after a
-    // lost answer and gets the same result, not version 3. After a restart from the journal,
-    // version 2 is still in force: an accepted change never reverts.
+    // Guards against lost updates, duplicate application and rollback after a restart.
     const dataDir = mkdtempSync(join(tmpdir(), "poplarhead-rules-"));
     const inventory = buildInventoryFixture({ workers: 1 });
     const entry = new EntryInstance({
--- a/entry/lease_dispatcher.ts
+++ b/entry/lease_dispatcher.ts
@@ -1,14 +1,13 @@
 /**
- * What the leader of a group tells the workers: lease offers and stops, batched per address. An
- * offer leaves only with a heartbeat of its worker to go by, so that the worker can refuse an
- * offer from a leader that was frozen or cut off since.
+ * Sends lease offers and stops from a group's leader to workers, batched per address. Each offer
+ * names the worker's last heartbeat, so that the worker can refuse offers from a stale leader.
  *
  * @example
  * ```ts
- * import { WorkerLink } from "./lease_dispatcher.ts";
- * const link = new WorkerLink({ isServing, onDeclined, log });
- * link.recordBeat(instance, sentAt);
- * link.sendGrants(leases);
+ * import { LeaseDispatcher } from "./lease_dispatcher.ts";
+ * const dispatcher = new LeaseDispatcher({ isServing, onDeclined, log });
+ * dispatcher.recordHeartbeat(instance, sentAt);
+ * dispatcher.sendGrants(grants);
  * ```
  *
  * @module
@@ -19,19 +18,19 @@
 import type { InstanceId, LeaseId } from "../inventory/mod.ts";
 import { RpcClientPool, type ByteCounts } from "../rpc/mod.ts";
 
-/** A worker's answer to one offer. */
+/** A worker's reply to one lease offer. */
 export interface GrantReply {
     readonly lease: LeaseId;
-    /** `unknown`: meant for an earlier process of the worker, which may have run it. */
+    /** `unknown`: offered to an earlier incarnation of the worker, which may have run the task. */
     readonly status: "accepted" | "declined" | "unknown";
     readonly reason: string;
 }
 
 /** Options of {@link LeaseDispatcher}. */
 export interface LeaseDispatcherOptions {
-    /** Whether this instance leads and nobody else can. */
+    /** Returns whether this instance leads the group and holds the leader lease. */
     readonly isServing: () => boolean;
-    /** A worker did not take an offer, and its task did not start. */
+    /** Called when a worker declined an offer; its task did not start. */
     readonly onDeclined: (lease: LeaseId, reason: string) => void;
     readonly log: Logger;
 }
@@ -43,7 +42,7 @@
 const MAX_ATTEMPTS = 5;
 const RETRY_DELAY_MS = 200;
 
-/** The leader's connections to its workers. */
+/** Dispatches lease offers and stops to the workers of a group. */
 export class LeaseDispatcher {
     readonly #options: LeaseDispatcherOptions;
     readonly #clients = new RpcClientPool({ timeoutMs: CALL_TIMEOUT_MS });
@@ -57,22 +56,22 @@
         this.#options = options;
     }
 
-    /** Bytes sent to and received from workers by this side's calls. */
+    /** Bytes sent and received by calls to workers. */
     get bytes(): ByteCounts {
         return this.#clients.bytes;
     }
 
-    /** Forgets everything: another instance leads now, and sends again what is unanswered. */
+    /** Clears all state on loss of leadership; the next leader resends unanswered offers. */
     close(): void {
         this.#lastHeartbeatAt.clear();
         this.#deferredGrants = [];
     }
 
     /**
-     * Notes a worker's heartbeat.
+     * Records a worker's heartbeat.
      *
      * @param instance The worker's instance.
-     * @param sentAt When it was sent, by the worker's clock.
+     * @param sentAt When the heartbeat was sent, by the worker's clock, in ms.
      */
     recordHeartbeat(instance: InstanceId, sentAt: number): void {
         this.#lastHeartbeatAt.set(
@@ -81,7 +80,7 @@
         );
     }
 
-    /** Sends the offers that waited for a heartbeat or for the leader's lease. */
+    /** Sends the offers that were deferred for lack of a heartbeat or of the leader lease. */
     sendDeferred(): void {
         if (this.#deferredGrants.length > 0 && this.#options.isServing()) {
             const deferred = this.#deferredGrants;
@@ -91,9 +90,9 @@
     }
 
     /**
-     * Offers leases.
+     * Offers leases to workers; defers those that cannot be sent yet.
      *
-     * @param grants The offers.
+     * @param grants The leases to offer.
      */
     sendGrants(grants: readonly Grant[]): void {
         const ready = grants.filter((g) => this.#isReady(g));
@@ -108,10 +107,10 @@
     }
 
     /**
-     * Asks workers to stop tasks. A stop that is lost is sent again when the worker's next
-     * heartbeat still lists the lease.
+     * Asks workers to stop tasks. If a stop is lost, the reply to a heartbeat that still lists the
+     * lease repeats it.
      *
-     * @param stops The stops.
+     * @param stops The leases to stop.
      */
     sendStops(stops: readonly Stop[]): void {
         for (const [address, batch] of createBatches(stops)) {
@@ -132,9 +131,8 @@
     }
 
     /**
-     * Sends offers. A lost answer is asked for again with the same lease and epoch: the worker
-     * answers a repeated offer as it answered the first, so an unknown outcome is never guessed.
-     * After the retries the lease simply expires.
+     * Sends one batch of offers and retries it on failure. Retries are idempotent: the worker gives
+     * the same reply to the same lease and epoch. After the last attempt, the lease expires.
      */
     async #sendGrantBatch(
         address: string,
--- a/entry/mod.ts
+++ b/entry/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The entry instance process: API, cell, journal and worker connections.
+ * The entry instance process: JSON-RPC API, replicated groups and worker connections.
  *
  * @example
  * ```ts
--- a/entry/peer_api.ts
+++ b/entry/peer_api.ts
@@ -1,6 +1,6 @@
 /**
- * The calls of the other entry instances: groups' messages, members that ask for a log, calls
- * passed on, gossip.
+ * JSON-RPC methods for the other entry instances: replication messages, learner subscriptions,
+ * forwarded calls and gossip.
  *
  * @example
  * ```ts
@@ -23,7 +23,7 @@
 } from "./api_schema.ts";
 import type { CallRouter } from "./call_router.ts";
 
-/** What the peers' calls need of a local group member. */
+/** The view of a local group member that peer calls use. */
 export interface PeerMember {
     readonly receive: (
         from: MemberId,
@@ -35,13 +35,13 @@
 
 /** Options of {@link PeerApi}. */
 export interface PeerApiOptions {
-    /** The local member of a group, if this instance keeps a replica. */
+    /** Returns the local member of a group, if this instance has a replica. */
     readonly getMember: (group: GroupId) => PeerMember | undefined;
     readonly router: CallRouter;
     readonly gossip: Gossip;
 }
 
-/** Serves the other entry instances. */
+/** Handles calls from the other entry instances. */
 export class PeerApi {
     readonly #options: PeerApiOptions;
 
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Creates the methods.
+     * Creates the JSON-RPC methods.
      *
      * @returns The methods by name.
      */
--- a/entry/status.ts
+++ b/entry/status.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry instance tells operators of itself and of the groups it keeps.
+ * Builds the status report of an entry instance and its replicas for operators.
  *
  * @example
  * ```ts
@@ -22,22 +22,22 @@
 import type { ConfigGroup } from "./config_group.ts";
 import type { ZoneGroup } from "./zone_group.ts";
 
-/** A group as this instance sees it. */
+/** The state of a group's replica on this instance. */
 export interface GroupStatus {
     readonly id: GroupId;
     readonly role: Role;
-    /** Whether this instance leads it and nobody else can. */
+    /** Whether this instance leads the group and holds the leader lease. */
     readonly serving: boolean;
     readonly term: number;
     readonly leader: EntryId | undefined;
     readonly appliedIndex: number;
     readonly voters: readonly MemberId[];
     readonly rulesVersion: number;
-    /** Its cell, as this instance's replica has it; not for the configuration group. */
+    /** State of the replicated cell; `undefined` for the configuration group. */
     readonly cell: CellStatus | undefined;
 }
 
-/** A group's cell in figures. */
+/** Request counts, worker counts and counters of a cell. */
 export interface CellStatus {
     readonly requests: Readonly<Record<string, number>>;
     readonly workersAlive: number;
@@ -46,7 +46,7 @@
     readonly counters: CellCounters;
 }
 
-/** The status of one entry instance; sums are over the groups it keeps. */
+/** The status of one entry instance; totals cover its zone replicas. */
 export interface EntryStatus extends CellStatus {
     readonly id: EntryId;
     readonly ready: boolean;
@@ -56,7 +56,7 @@
     readonly members: Readonly<Record<string, MemberStatus>>;
 }
 
-/** What {@link describeStatus} looks at. */
+/** Inputs of {@link describeStatus}. */
 export interface StatusSources {
     readonly self: EntryId;
     readonly isReady: boolean;
@@ -69,9 +69,9 @@
 }
 
 /**
- * Describes an entry instance.
+ * Builds the status of an entry instance.
  *
- * @param sources What to look at.
+ * @param sources The instance's groups, gossip and byte counts.
  * @returns The status.
  */
 export function describeStatus(sources: StatusSources): EntryStatus {
--- a/entry/worker_api.ts
+++ b/entry/worker_api.ts
@@ -1,6 +1,6 @@
 /**
- * The calls of workers at an entry instance. Workers talk to the leader of their group itself; an
- * instance that does not lead it names the one that does.
+ * JSON-RPC methods for workers. Workers call the leader of their group directly; any other instance
+ * returns an error that names the leader.
  *
  * @example
  * ```ts
@@ -30,14 +30,14 @@
 export interface WorkerApiOptions {
     readonly layout: Layout;
     readonly inventory: Inventory;
-    /** The zone group that this instance keeps under an id. */
+    /** Returns the local replica of a zone's group. */
     readonly getZone: (group: GroupId) => ZoneGroup | undefined;
-    /** Who leads a group, as far as known. */
+    /** Returns the leader of a group, if known. */
     readonly findLeader: (group: GroupId) => EntryId | undefined;
     readonly log: Logger;
 }
 
-/** Serves workers. */
+/** Handles calls from workers. */
 export class WorkerApi {
     readonly #options: WorkerApiOptions;
 
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Creates the methods.
+     * Creates the JSON-RPC methods.
      *
      * @returns The methods by name.
      */
@@ -105,7 +105,7 @@
         return { ok: true };
     }
 
-    /** The workers of one call belong to one group: that of the first. */
+    /** Runs a call for the group of the first worker; a call's workers all share one group. */
     #runForWorkers<T>(
         items: readonly { readonly instance: InstanceId }[],
         run: (zone: ZoneGroup) => Promise<T>,
--- a/entry/zone_group.ts
+++ b/entry/zone_group.ts
@@ -1,7 +1,6 @@
 /**
- * A zone's group on one entry instance: a replica of the zone's cell and, while this instance
- * leads, the duties of a leader: keep the cell's clock, take the workers' heartbeats and reports,
- * offer leases, carry new rules in.
+ * A zone's group on one entry instance: a replica of the zone's cell. While this instance leads, it
+ * also ticks the cell, handles worker heartbeats and reports, offers leases and adopts new rules.
  *
  * @example
  * ```ts
@@ -48,7 +47,7 @@
 import { GroupMember, LeaderClock, type GroupMemberOptions } from "../group/mod.ts";
 import { LeaseDispatcher } from "./lease_dispatcher.ts";
 
-/** What applying an input gave, or why it gave nothing; the same on every replica. */
+/** The result of applying an input, or why it failed; identical on every replica. */
 type CellResult =
     { readonly value: unknown } | { readonly conflict: string } | { readonly failure: string };
 
@@ -59,13 +58,13 @@
     readonly config: ConfigGroup;
     readonly metrics: EntryMetrics;
     readonly tickMs?: number;
-    /** Heartbeats arriving within this many ms are renewed by one command. */
+    /** Heartbeats that arrive within this window, in ms, share one renewal entry. */
     readonly renewWindowMs?: number;
     /** See {@link HandOverAgentOptions}. */
     readonly listGroupCapacities: HandOverAgentOptions["listGroupCapacities"];
     /** See {@link HandOverAgentOptions}. */
     readonly sendAdopt: HandOverAgentOptions["sendAdopt"];
-    /** A request reached its end on this replica. */
+    /** Called when a request becomes final on this replica. */
     readonly onFinal: (request: RequestId) => void;
 }
 
@@ -73,12 +72,12 @@
 export interface Heartbeat {
     readonly instance: InstanceId;
     readonly incarnation: string;
-    /** When it was sent, by the worker's clock, in ms. */
+    /** Time of sending by the worker's clock, in ms. */
     readonly sentAt: number;
     readonly leases: readonly HeldLease[];
 }
 
-/** A worker's report of a task. */
+/** A worker's report on the task of a lease. */
 export interface LeaseReport {
     readonly lease: LeaseId;
     readonly epoch: number;
@@ -86,18 +85,18 @@
     readonly detail: string;
 }
 
-/** The answer to heartbeats. */
+/** The response to a batch of heartbeats. */
 export interface HeartbeatResponse {
-    /** Workers that must announce themselves again (unknown here, or another process). */
+    /** Workers that must announce themselves again: unknown, or of another incarnation. */
     readonly announce: readonly InstanceId[];
-    /** Leases that ended or were told to stop: the worker stops their tasks, renews none. */
+    /** Leases that ended or are to stop; the worker stops their tasks and does not renew them. */
     readonly ended: readonly LeaseId[];
 }
 
 const DEFAULT_TICK_INTERVAL_MS = 10;
 const DEFAULT_RENEW_WINDOW_MS = 100;
 
-/** One zone's group on one entry instance. */
+/** Replica of a zone's group, with the leader's duties. */
 export class ZoneGroup {
     readonly #options: ZoneGroupOptions;
     readonly #clock = new LeaderClock();
@@ -113,7 +112,7 @@
     #renewal: Promise<unknown> | undefined;
 
     /**
-     * @param options The layout, inventory, rules, timings; see {@link ZoneGroupOptions}.
+     * @param options Layout, inventory, rules, timings; see {@link ZoneGroupOptions}.
      */
     constructor(options: ZoneGroupOptions) {
         this.#options = options;
@@ -161,27 +160,27 @@
         });
     }
 
-    /** Whether this instance leads the group and nobody else can. */
+    /** Whether this instance leads the group and holds the leader lease. */
     get isServing(): boolean {
         return this.member.isServing;
     }
 
-    /** Bytes exchanged with workers by this side's calls. */
+    /** Bytes sent and received by calls to workers. */
     get workerBytes(): { received: number; sent: number } {
         return this.#dispatcher.bytes;
     }
 
-    /** Stops the replica. */
+    /** Stops the replica and the leader's duties. */
     async stop(): Promise<void> {
         await this.member.stop();
         this.#stopLeading();
     }
 
     /**
-     * Accepts a request, once a quorum holds it durably.
+     * Submits a request; resolves once a quorum has stored it durably.
      *
      * @param spec The request.
-     * @returns The answer as it stands then.
+     * @returns The request's state after the commit.
      */
     async submit(spec: RequestSpec): Promise<Answer> {
         return (await this.#propose((at) => ({ type: "submit", at, spec }))) as Answer;
@@ -201,7 +200,7 @@
     /**
      * Starts or ends an operator's drain of an instance.
      *
-     * @param type Which.
+     * @param type Whether to start or to end the drain.
      * @param instance The instance.
      * @returns False for an unknown instance.
      */
@@ -210,11 +209,11 @@
     }
 
     /**
-     * Takes requests that another zone's group hands over, or tells how those it has stand.
+     * Adopts requests that another zone's group hands over, and returns the state of each.
      *
-     * @param from The other group.
+     * @param from The group that hands the requests over.
      * @param items The requests.
-     * @returns How each stands.
+     * @returns One answer per request, in order.
      */
     adopt(from: GroupId, items: readonly AdoptItem[]): Promise<AdoptAnswer[]> {
         return Promise.all(items.map((item) => this.#adoptItem(from, item)));
@@ -240,7 +239,7 @@
     }
 
     /**
-     * Carries the configuration group's newest rules into this group's log, if it leads.
+     * Writes the configuration group's newest rules to this group's log, if this instance leads.
      */
     async adoptRules(): Promise<void> {
         const { config } = this.#options;
@@ -257,13 +256,13 @@
         await this.#rulesAdoption;
     }
 
-    /** Cores free for new work, for the other groups. */
+    /** Free cores to announce to the other groups; 0 on followers. */
     get freeCores(): number {
         return this.isServing ? this.cell.computeFreeCores(this.#clock.getNow()) : 0;
     }
 
     /**
-     * Takes workers that announce themselves.
+     * Registers workers.
      *
      * @param workers The workers, with the address and incarnation of their process.
      */
@@ -285,7 +284,7 @@
     }
 
     /**
-     * Stops new work to workers that leave.
+     * Stops placing work on workers that shut down.
      *
      * @param instances The workers' instances.
      */
@@ -296,12 +295,11 @@
     }
 
     /**
-     * Takes heartbeats. They are answered only after the renewal is committed: the worker lets
-     * its leases live on by that answer, and a leader that was replaced cannot commit, so it can
-     * never keep a task alive that its successor has given to another worker.
+     * Handles heartbeats and renews leases. The response is sent only after the renewal is
+     * committed, so a replaced leader cannot extend a lease that its successor has reassigned.
      *
      * @param beats The heartbeats.
-     * @returns What the workers must do.
+     * @returns The workers that must announce themselves and the leases to stop.
      */
     async handleHeartbeats(beats: readonly Heartbeat[]): Promise<HeartbeatResponse> {
         const announce: InstanceId[] = [];
@@ -331,9 +329,9 @@
     }
 
     /**
-     * Takes reports.
+     * Handles task reports.
      *
-     * @param reports The reports, in the order they happened.
+     * @param reports The reports, in chronological order.
      */
     async handleReports(reports: readonly LeaseReport[]): Promise<void> {
         await Promise.all(
@@ -365,7 +363,7 @@
         return result.value;
     }
 
-    /** An input that throws is answered as a failure; the replicas go on, all alike. */
+    /** Applies an input; an error becomes a failure result, identical on every replica. */
     #applyInput(input: CellInput): CellResult {
         try {
             return { value: this.cell.applyInput(input) };
@@ -430,7 +428,7 @@
         return { type: "tick", at };
     }
 
-    /** Places what a batch brought in the same round, unless a tick has just done so. */
+    /** Adds a tick to a batch that may allow new placements, unless one ran within the interval. */
     #createBatchTick(inputs: readonly CellInput[]): CellInput[] {
         const at = this.#clock.getNow();
         const isDue = at - this.#lastTickAt >= (this.#options.tickMs ?? DEFAULT_TICK_INTERVAL_MS);
@@ -438,7 +436,7 @@
         return isDue && hasPlacementWork ? [this.#createTick(at)] : [];
     }
 
-    /** Only the leader acts on effects; every replica wakes those who wait for an end. */
+    /** Notifies waiters of final requests on every replica; other effects are for the leader. */
     #handleEffects(effects: readonly Effect[]): void {
         const isLeader = this.member.replica.role === "leader";
         const grants: Extract<Effect, { type: "grant" }>[] = [];
