--- a/entry/call_router_test.ts
+++ b/entry/call_router_test.ts
@@ -19,7 +19,7 @@
     });
 }
 
-test("a call that comes while the leader's lease has lapsed is served once it is back", async (t) => {
+test("a leader whose lease has lapsed serves calls after renewing it", async (t) => {
     // Guards against a no-leader error from the leader itself while its lease has lapsed.
     const router = buildRouter(async () => {
         await new Promise((resolve) => setImmediate(resolve));
@@ -30,7 +30,7 @@
     t.is(await router.runForwarded(forwarded), "submit done");
 });
 
-test("an instance that leads no more says so", async (t) => {
+test("a former leader rejects calls with a no-leader error", async (t) => {
     const router = buildRouter(() => Promise.resolve(false));
     await t.throwsAsync(router.route(LAYOUT, "submit", {}), { message: /leader/ });
     const forwarded = { group: GROUP, method: "submit", params: {} };
--- a/entry/cluster_test.ts
+++ b/entry/cluster_test.ts
@@ -11,7 +11,7 @@
 }
 
 test.serial(
-    "kill -9 of the leader in the middle of handing out billed batches runs none twice and loses none",
+    "killing the leader while it grants leases for billed batches loses and repeats none",
     async (t) => {
         // The new leader must resolve open offers of billed batches, not lease them again.
         const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
@@ -23,7 +23,7 @@
         await cluster.removeProcess(leader);
         await cluster.waitLeaders();
         const before = workload.count;
-        await waitUntil("the next leader takes requests", () => workload.count > before + 50);
+        await waitUntil("the new leader accepts requests", () => workload.count > before + 50);
         const { answers, violations } = await workload.audit();
         t.deepEqual(violations, []);
         t.true(answers.every((a) => a.state === "completed"));
@@ -32,7 +32,7 @@
 );
 
 test.serial(
-    "a leader frozen past its successor's election does no harm when it wakes",
+    "a leader that is paused until after its successor's election causes no violation on resuming",
     async (t) => {
         // Guards against offers and commits from a leader that resumes with a stale term.
         const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
@@ -55,7 +55,7 @@
 );
 
 test.serial(
-    "a control instance cut off silently for long changes nothing and follows again",
+    "a leader in a long silent partition stops serving and catches up afterwards",
     async (t) => {
         // The partition leaves connections open, and the leader still reaches workers.
         const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
@@ -70,13 +70,13 @@
         const isolated = await cluster.getStatus(leader);
         t.false(
             isolated?.groups.some((g) => g.serving),
-            "it knows that it may be replaced",
+            "an isolated leader must stop serving",
         );
         cluster.setIsolated(leader, "open");
         const { answers, violations } = await workload.audit();
         t.deepEqual(violations, []);
         t.true(answers.filter((a) => a.state === "completed").length > 300);
-        await waitUntil("the instance has caught up", async () => {
+        await waitUntil("the isolated instance has caught up", async () => {
             const statuses = await cluster.listStatuses();
             const applied = statuses.map(
                 (s) => s.groups.find((g) => g.id === ZONE)?.appliedIndex ?? 0,
@@ -87,7 +87,7 @@
 );
 
 test.serial(
-    "a second instance is lost right after the first one's disk was replaced",
+    "losing a second instance right after replacing the first one's disk loses no accepted request",
     async (t) => {
         // Guards against a quorum that counts a replaced member before it holds the accepted log.
         const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
@@ -102,7 +102,7 @@
         await cluster.removeProcess(replaced as string);
         cluster.removeDisk(replaced as string);
         await cluster.startEntry(replaced as string);
-        await waitUntil("the replaced member votes in place of the old one", async () => {
+        await waitUntil("the replacement member has become a voter", async () => {
             const status = await cluster.getStatus(leader);
             return (status?.groups ?? []).every(
                 (g) =>
@@ -112,7 +112,7 @@
         });
         await cluster.removeProcess(other as string);
         const before = workload.count;
-        await waitUntil("requests go on", () => workload.count > before + 50);
+        await waitUntil("requests continue to be submitted", () => workload.count > before + 50);
         const { answers, violations } = await workload.audit();
         t.deepEqual(violations, []);
         t.true(answers.every((a) => a.state === "completed"));
@@ -120,7 +120,7 @@
 );
 
 test.serial(
-    "an instance that comes back after hundreds of changes catches up from a snapshot",
+    "an instance restarted after hundreds of entries catches up from a snapshot",
     async (t) => {
         // The other instances have compacted the entries that the restarted one lacks.
         const cluster = await buildCluster({
@@ -146,10 +146,10 @@
             });
             t.is(result.status, "applied");
         }
-        await waitUntil("hundreds of requests went by", () => workload.count > 700);
+        await waitUntil("more than 700 requests were submitted", () => workload.count > 700);
         workload.stop();
         await cluster.startEntry(late);
-        await waitUntil("it has everything", async () => {
+        await waitUntil("the restarted instance has caught up", async () => {
             const statuses = await cluster.listStatuses();
             const own = statuses.find((s) => s.id === late);
             const applied = statuses.map(
@@ -161,14 +161,17 @@
                 Math.max(...applied) - Math.min(...applied) <= 2
             );
         });
-        t.true(cluster.hasSnapshot(late, ZONE), "it took a snapshot, not every entry");
+        t.true(
+            cluster.hasSnapshot(late, ZONE),
+            "the instance must install a snapshot instead of replaying every entry",
+        );
         const { violations } = await workload.audit();
         t.deepEqual(violations, []);
     },
 );
 
 test.serial(
-    "waves of cancellations, impossible jobs and a worker that fails everything",
+    "cancellations, infeasible requests and a failing worker leave every request final",
     async (t) => {
         // Every request must become final, and idempotent ones must be retried on other workers.
         const cluster = await buildCluster({
@@ -192,37 +195,34 @@
     },
 );
 
-test.serial(
-    "each instance in turn is stopped gracefully and started again; no request is cut off",
-    async (t) => {
-        // Guards against calls that a graceful shutdown drops during a rolling restart under load.
-        const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3, diskless: 1 });
-        t.teardown(() => cluster.stop());
-        const workload = new Workload(cluster);
-        workload.start({ intervalMs: 15 });
-        for (const id of [`e-${ZONE}-1`, `e-${ZONE}-2`, `e-${ZONE}-3`, `d-${ZONE}-1`]) {
-            await waitFor(500);
-            await cluster.stopProcess(id);
-            await cluster.waitLeaders();
-            await cluster.startEntry(id);
-            await waitUntil("it follows again", async () => {
-                const status = await cluster.getStatus(id);
-                return (status?.groups ?? []).length > 0 && status?.ready === true;
-            });
-        }
-        const { answers, violations } = await workload.audit();
-        t.deepEqual(violations, []);
-        t.true(answers.every((a) => a.state === "completed"));
-        const status = await cluster.getStatus(`d-${ZONE}-1`);
-        t.true(
-            status?.groups.every((g) => g.role === "learner"),
-            "no disk, no vote",
-        );
-    },
-);
+test.serial("a rolling restart under load interrupts no request", async (t) => {
+    // Guards against calls that a graceful shutdown drops during a rolling restart under load.
+    const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3, diskless: 1 });
+    t.teardown(() => cluster.stop());
+    const workload = new Workload(cluster);
+    workload.start({ intervalMs: 15 });
+    for (const id of [`e-${ZONE}-1`, `e-${ZONE}-2`, `e-${ZONE}-3`, `d-${ZONE}-1`]) {
+        await waitFor(500);
+        await cluster.stopProcess(id);
+        await cluster.waitLeaders();
+        await cluster.startEntry(id);
+        await waitUntil("the restarted instance is ready", async () => {
+            const status = await cluster.getStatus(id);
+            return (status?.groups ?? []).length > 0 && status?.ready === true;
+        });
+    }
+    const { answers, violations } = await workload.audit();
+    t.deepEqual(violations, []);
+    t.true(answers.every((a) => a.state === "completed"));
+    const status = await cluster.getStatus(`d-${ZONE}-1`);
+    t.true(
+        status?.groups.every((g) => g.role === "learner"),
+        "a diskless instance must stay a learner",
+    );
+});
 
 test.serial(
-    "a cut-off zone goes on placing its own work; rules and answers meet after the cut",
+    "a partitioned zone places its own requests and adopts new rules after the partition",
     async (t) => {
         // Rules changes need the majority side; z1 adopts them after the partition heals.
         const zones = ["z1", "z2", "z3"];
@@ -237,7 +237,7 @@
         loads.forEach((load) => load.start({ intervalMs: 40 }));
         await waitFor(1_000);
         cluster.setZoneCut("z1", "silent");
-        await waitUntil("the majority side orders rules", async () => {
+        await waitUntil("the majority side leads the configuration group", async () => {
             const leader = await cluster.findLeader("config");
             return leader !== undefined && !leader.startsWith("e-z1");
         });
@@ -252,7 +252,7 @@
         t.deepEqual(
             ends.map((a) => a?.state),
             ["completed", "completed", "completed"],
-            "every zone serves its own during the cut",
+            "every zone must serve its own callers during the partition",
         );
         const change = { changeId: "during-cut", expectedVersion: 1, rules: buildRulesFile() };
         const result = await loads[1]?.caller.setRules(change);
@@ -262,14 +262,14 @@
         );
         t.true(
             await hasRules(cluster, ["z1"], 1),
-            "z1 cannot know yet, and keeps what is in force",
+            "z1 must keep the previous rules during the partition",
         );
         cluster.setZoneCut("z1", "open");
         await waitUntil("the rules are in force in z1", () => hasRules(cluster, ["z1"]));
         t.deepEqual(
             await loads[0]?.caller.setRules(change),
             result,
-            "a resend is answered as before",
+            "a resend must return the same result",
         );
         for (const load of loads) {
             const { answers, violations } = await load.audit();
@@ -280,7 +280,7 @@
 );
 
 test.serial(
-    "a zone without room hands work to zones that have it, and a cut in the middle runs none twice",
+    "a full zone hands requests over to other zones, and a partition meanwhile repeats none",
     async (t) => {
         // All callers belong to z1, which has too few workers; z2 and z3 are idle.
         const zones = ["z1", "z2", "z3"];
@@ -309,7 +309,7 @@
 );
 
 test.serial(
-    "operators race on different instances with equal versions: one winner, in force everywhere",
+    "of concurrent rules changes to one version through several instances, exactly one is applied",
     async (t) => {
         // Guards against applying a change twice, and against losing it with the leader.
         const cluster = await buildCluster({ zones: [ZONE], entriesPerZone: 3 });
@@ -323,10 +323,15 @@
         t.deepEqual(results[0], results[2]);
         t.deepEqual(results[1], results[3]);
         t.deepEqual([results[0]?.status, results[1]?.status].sort(), ["applied", "conflict"]);
-        await waitUntil("in force everywhere", () => hasRules(cluster, [ZONE]));
+        await waitUntil("the new rules are in force on every instance", () =>
+            hasRules(cluster, [ZONE]),
+        );
         await cluster.removeProcess((await cluster.findLeader("config")) as string);
         await cluster.waitLeaders();
-        t.true(await hasRules(cluster, [ZONE]), "an accepted change never reverts");
+        t.true(
+            await hasRules(cluster, [ZONE]),
+            "an accepted change must survive the loss of the leader",
+        );
         const workload = new Workload(cluster);
         t.deepEqual(
             await workload.caller.setRules({
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -179,7 +179,7 @@
     get cell(): Cell {
         const [zone] = this.#zones.values();
         if (zone === undefined) {
-            throw new Error(`${this.#self} keeps no zone's replica`);
+            throw new Error(`${this.#self} has no zone replica`);
         }
         return zone.cell;
     }
@@ -423,7 +423,10 @@
         // Zones led by this instance adopt the rules before the operator gets the result; other
         // zones adopt them in the next tick of their leader.
         await Promise.all([...this.#zones.values()].map((z) => z.adoptRules())).catch(
-            (error: Error) => this.#log.warn("rules not adopted yet", { error: error.message }),
+            (error: Error) =>
+                this.#log.warn("failed to adopt new rules; the zone leader retries", {
+                    error: error.message,
+                }),
         );
         return result;
     }
@@ -494,7 +497,7 @@
     ): Promise<readonly AdoptAnswer[]> {
         const group = this.#layout.groups.find((g) => g.id === to);
         if (group === undefined) {
-            return Promise.reject(new Error(`the settings name no group ${to}`));
+            return Promise.reject(new Error(`group ${to} is not in the deployment`));
         }
         const params = { from, items };
         return this.#router.route(group, "zone.adopt", params) as Promise<AdoptAnswer[]>;
--- a/entry/entry_test.ts
+++ b/entry/entry_test.ts
@@ -13,7 +13,7 @@
     return createLogger({ process: "test", zone: "test", silent: true });
 }
 
-test("requests run end to end over loopback, and a restarted entry instance remembers them", async (t) => {
+test("requests complete over loopback, and a restarted entry instance recovers their state", async (t) => {
     const dataDir = mkdtempSync(join(tmpdir(), "poplarhead-test-"));
     const inventory = buildInventoryFixture({ workers: 3 });
     const rules = buildRulesFixture();
@@ -51,7 +51,7 @@
                 e.cell.describeRequest(id)?.state,
                 e.cell.describeRequest(id)?.attempts,
             ]);
-    t.deepEqual(describe(again), describe(entry), "replay rebuilds every request as it was");
+    t.deepEqual(describe(again), describe(entry), "replay must restore every request's state");
     t.deepEqual(
         again.cell.listLeases().map((l) => [l.id, l.epoch, l.state]),
         entry.cell.listLeases().map((l) => [l.id, l.epoch, l.state]),
@@ -59,7 +59,7 @@
     await again.stop();
 });
 
-test("a stopping entry instance answers new submits at once with a code that says resend elsewhere", async (t) => {
+test("an entry instance that shuts down rejects new submits at once", async (t) => {
     // Guards against submits that hang while the instance shuts down.
     const inventory = buildInventoryFixture({ workers: 1 });
     const entry = new EntryInstance({
@@ -75,7 +75,7 @@
     t.true(error instanceof RpcError && (error.code === SHUTTING_DOWN_CODE || error.code === 0));
 });
 
-test("a log whose last line was torn by a crash replays the rest", async (t) => {
+test("a log with a torn last line replays all earlier entries", async (t) => {
     // A torn line was never fsynced, so no caller has an answer that depends on it.
     const dataDir = mkdtempSync(join(tmpdir(), "poplarhead-torn-"));
     const inventory = buildInventoryFixture({ workers: 1 });
--- a/entry/invariants_test.ts
+++ b/entry/invariants_test.ts
@@ -23,7 +23,7 @@
     };
 }
 
-test("an upstream that announced its leaving gets no new lease", async (t) => {
+test("an upstream that announced its shutdown gets no new lease", async (t) => {
     // Guards against placements on a worker that is already shutting down.
     const inventory = buildInventoryFixture({ workers: 2 });
     const entry = new EntryInstance({
@@ -63,7 +63,7 @@
     await entry.stop();
 });
 
-test("operators racing with equal versions get one winner; a resend is applied once; it never reverts", async (t) => {
+test("of concurrent rules changes one is applied, a resend is idempotent, and a restart keeps it", async (t) => {
     // Guards against lost updates, duplicate application and rollback after a restart.
     const dataDir = mkdtempSync(join(tmpdir(), "poplarhead-rules-"));
     const inventory = buildInventoryFixture({ workers: 1 });
@@ -92,6 +92,6 @@
     });
     await again.start();
     t.is(again.cell.rules.version, 2);
-    t.false(again.cell.rules.kinds.has("batch"), "the rules in force are the accepted change's");
+    t.false(again.cell.rules.kinds.has("batch"), "the accepted change's rules must be in force");
     await again.stop();
 });
--- a/entry/lease_dispatcher.ts
+++ b/entry/lease_dispatcher.ts
@@ -118,7 +118,7 @@
                 .getClient(address)
                 .call("leases.stop", { stops: batch })
                 .catch((error: Error) =>
-                    this.#options.log.warn("stop not delivered", {
+                    this.#options.log.warn("failed to send lease stops", {
                         address,
                         error: error.message,
                     }),
@@ -156,7 +156,7 @@
                 }
             }
         } catch (error) {
-            this.#options.log.warn("offer not answered", {
+            this.#options.log.warn("failed to send lease offers", {
                 address,
                 attempt,
                 error: (error as Error).message,
--- a/entry/worker_api.ts
+++ b/entry/worker_api.ts
@@ -96,7 +96,7 @@
 
     async #handleLeave(params: unknown): Promise<{ ok: true }> {
         const { instances } = parseParams(leaveSchema, params);
-        this.#options.log.info("upstream leaving", { instances });
+        this.#options.log.info("upstream announced shutdown", { instances });
         const typed = instances.map((i) => createId<InstanceId>(i));
         await this.#runForWorkers(
             typed.map((instance) => ({ instance })),
--- a/entry/zone_group.ts
+++ b/entry/zone_group.ts
@@ -371,7 +371,7 @@
             if (error instanceof KeyConflictError) {
                 return { conflict: error.message };
             }
-            this.#options.log.error("input failed", {
+            this.#options.log.error("failed to apply input", {
                 type: input.type,
                 error: (error as Error).stack,
             });
@@ -381,7 +381,7 @@
 
     #startLeading(): void {
         this.#clock.start(this.cell.lastAt);
-        this.#options.log.info("leading", {
+        this.#options.log.info("became leader", {
             group: this.#options.group.id,
             term: this.member.replica.term,
         });
@@ -397,7 +397,7 @@
 
     #stopLeading(): void {
         if (this.#tickSubscription !== undefined) {
-            this.#options.log.info("leading no more", { group: this.#options.group.id });
+            this.#options.log.info("stopped leading", { group: this.#options.group.id });
         }
         this.#tickSubscription?.unsubscribe();
         this.#tickSubscription = undefined;
