--- a/cell/_lease_keeper.ts
+++ b/cell/_lease_keeper.ts
@@ -13,7 +13,7 @@
  * @module
  */
 
-import { applyChartEvent } from "../chart/mod.ts";
+import { getNextState } from "../chart/mod.ts";
 import {
     getMaxResources,
     isFitting,
@@ -150,7 +150,7 @@
             return;
         }
         if (accepted) {
-            lease.state = applyChartEvent(leaseChart, lease.state, "accept", NO_GUARDS);
+            lease.state = getNextState(leaseChart, lease.state, "accept", NO_GUARDS);
             lease.renewedAt = at;
             return;
         }
@@ -181,7 +181,7 @@
         }
         if (report === "started") {
             if (lease.state === leaseChart.initial) {
-                lease.state = applyChartEvent(leaseChart, lease.state, "accept", NO_GUARDS);
+                lease.state = getNextState(leaseChart, lease.state, "accept", NO_GUARDS);
             }
             lease.renewedAt = at;
             task.state = "running";
@@ -258,7 +258,7 @@
     }
 
     #renewLease(lease: LeaseRecord, at: number): void {
-        lease.state = applyChartEvent(leaseChart, lease.state, "renew", NO_GUARDS);
+        lease.state = getNextState(leaseChart, lease.state, "renew", NO_GUARDS);
         lease.renewedAt = at;
     }
 
--- a/cell/_lifecycle.ts
+++ b/cell/_lifecycle.ts
@@ -12,7 +12,7 @@
  * @module
  */
 
-import { applyChartEvent, loadChart } from "../chart/mod.ts";
+import { getNextState, loadChart } from "../chart/mod.ts";
 import { createId, NO_RESOURCES, type LeaseId } from "../inventory/mod.ts";
 import type { WorkerState } from "../scheduler/mod.ts";
 import type { Books } from "./_books.ts";
@@ -128,7 +128,7 @@
         detail: string,
         at: number,
     ): void {
-        lease.state = applyChartEvent(leaseChart, lease.state, event, NO_GUARDS);
+        lease.state = getNextState(leaseChart, lease.state, event, NO_GUARDS);
         const worker = this.#books.getWorker(lease.worker);
         this.#books.setHeld(worker, lease, NO_RESOURCES);
         worker.leases.delete(lease.id);
@@ -249,7 +249,7 @@
     applyRequestEvent(request: RequestRecord, event: string, at: number, reason: string): void {
         const guards = this.#books.isRetryable(request) ? RETRYABLE : AT_MOST_ONCE;
         const before = request.state;
-        request.state = applyChartEvent(requestChart, request.state, event, guards);
+        request.state = getNextState(requestChart, request.state, event, guards);
         if (event === "decline" && request.trouble === "declined" && request.state === "queued") {
             request.attempts = Math.max(0, request.attempts - 1);
         }
--- a/chart/chart.ts
+++ b/chart/chart.ts
@@ -38,19 +38,19 @@
     .strict();
 
 /** A loaded state chart. */
-export interface Chart {
+export interface StateChart {
     readonly name: string;
     readonly initial: string;
     readonly finalStates: ReadonlySet<string>;
     /** `from` and `event` to the edges leaving with that event, in file order. */
-    readonly edges: ReadonlyMap<string, readonly ChartEdge[]>;
+    readonly transitions: ReadonlyMap<string, readonly ChartTransition[]>;
 }
 
 /** One edge of a chart. */
-export interface ChartEdge {
+export interface ChartTransition {
     readonly to: string;
     /** A guard the caller must hold for the edge to be taken. */
-    readonly when: string | undefined;
+    readonly guard: string | undefined;
 }
 
 /** Thrown when an event has no edge from the current state: a bug or a message out of order. */
@@ -73,10 +73,10 @@
  * @returns The chart.
  * @throws {Error} When the file does not match the chart schema or names unknown states.
  */
-export function loadChart(url: URL): Chart {
+export function loadChart(url: URL): StateChart {
     const value = chartSchema.parse(parseYaml(readFileSync(url, "utf8")));
     const states = new Set(Object.keys(value.states));
-    const edges = new Map<string, ChartEdge[]>();
+    const transitions = new Map<string, ChartTransition[]>();
     for (const transition of value.transitions) {
         const sources = Array.isArray(transition.from) ? transition.from : [transition.from];
         for (const from of [...sources, transition.to]) {
@@ -86,9 +86,9 @@
         }
         for (const from of sources) {
             const key = `${from}\u0000${transition.event}`;
-            edges.set(key, [
-                ...(edges.get(key) ?? []),
-                { to: transition.to, when: transition.when },
+            transitions.set(key, [
+                ...(transitions.get(key) ?? []),
+                { to: transition.to, guard: transition.when },
             ]);
         }
     }
@@ -97,7 +97,7 @@
             .filter(([, state]) => state.final)
             .map(([name]) => name),
     );
-    return { name: value.name, initial: value.initial, finalStates, edges };
+    return { name: value.name, initial: value.initial, finalStates, transitions };
 }
 
 /**
@@ -110,18 +110,18 @@
  * @returns The next state.
  * @throws {ChartError} When no edge fits.
  */
-export function applyChartEvent(
-    chart: Chart,
+export function getNextState(
+    chart: StateChart,
     state: string,
     event: string,
     guards: ReadonlySet<string>,
 ): string {
-    const edges = chart.edges.get(`${state}\u0000${event}`) ?? [];
-    const edge = edges.find((e) => e.when === undefined || guards.has(e.when));
-    if (edge === undefined) {
+    const transitions = chart.transitions.get(`${state}\u0000${event}`) ?? [];
+    const transition = transitions.find((e) => e.guard === undefined || guards.has(e.guard));
+    if (transition === undefined) {
         throw new ChartError(chart.name, state, event);
     }
-    return edge.to;
+    return transition.to;
 }
 
 /**
@@ -132,6 +132,6 @@
  * @param event The event.
  * @returns True when at least one edge leaves `state` on `event`.
  */
-export function hasChartEdge(chart: Chart, state: string, event: string): boolean {
-    return chart.edges.has(`${state}\u0000${event}`);
+export function hasTransition(chart: StateChart, state: string, event: string): boolean {
+    return chart.transitions.has(`${state}\u0000${event}`);
 }
--- a/configuration/configuration.ts
+++ b/configuration/configuration.ts
@@ -15,7 +15,7 @@
 /** A call's queue and what follows the queue's prefix in the path. */
 export interface QueueMatch {
     readonly queue: QueueConfig;
-    readonly rest: string;
+    readonly pathSuffix: string;
 }
 
 /**
@@ -31,16 +31,16 @@
     host: string,
     path: string,
 ): QueueMatch | undefined {
-    let best: QueueConfig | undefined;
+    let longestMatch: QueueConfig | undefined;
     for (const queue of configuration.queues) {
         const matches = queue.host === host && path.startsWith(queue.pathPrefix);
-        if (matches && queue.pathPrefix.length > (best?.pathPrefix.length ?? -1)) {
-            best = queue;
+        if (matches && queue.pathPrefix.length > (longestMatch?.pathPrefix.length ?? -1)) {
+            longestMatch = queue;
         }
     }
-    return best === undefined
+    return longestMatch === undefined
         ? undefined
-        : { queue: best, rest: path.slice(best.pathPrefix.length) };
+        : { queue: longestMatch, pathSuffix: path.slice(longestMatch.pathPrefix.length) };
 }
 
 /**
@@ -52,7 +52,7 @@
 export function checkConfiguration(configuration: Configuration): string[] {
     const findings: string[] = [];
     const pools = new Set(configuration.pools.map((pool) => pool.name));
-    const places = new Set<string>();
+    const urlPrefixes = new Set<string>();
     for (const queue of configuration.queues) {
         if (!pools.has(queue.pool)) {
             findings.push(`queue ${queue.name}: unknown pool ${queue.pool}`);
@@ -60,11 +60,11 @@
         if (queue.timeoutMs <= 0) {
             findings.push(`queue ${queue.name}: the timeout must be above 0 ms`);
         }
-        const place = `${queue.host}${queue.pathPrefix}`;
-        if (places.has(place)) {
-            findings.push(`queue ${queue.name}: another queue has host and prefix ${place}`);
+        const urlPrefix = `${queue.host}${queue.pathPrefix}`;
+        if (urlPrefixes.has(urlPrefix)) {
+            findings.push(`queue ${queue.name}: another queue has host and prefix ${urlPrefix}`);
         }
-        places.add(place);
+        urlPrefixes.add(urlPrefix);
     }
     return findings;
 }
--- a/configuration/configuration_test.ts
+++ b/configuration/configuration_test.ts
@@ -4,27 +4,27 @@
 import { checkConfiguration, findQueue } from "./configuration.ts";
 import type { Configuration, PoolName, QueueConfig, QueueName } from "./types.ts";
 
-function buildWith(...queues: readonly QueueConfig[]): Configuration {
+function buildConfigurationWith(...queues: readonly QueueConfig[]): Configuration {
     return { ...buildConfiguration(1), queues };
 }
 
 test("the longest prefix of the host's queues wins", (t) => {
     const narrow = buildQueue({ name: "narrow" as QueueName, pathPrefix: "/previews/x/" });
-    const configuration = buildWith(buildQueue(), narrow);
+    const configuration = buildConfigurationWith(buildQueue(), narrow);
     const match = findQueue(configuration, "studio.example", "/previews/x/1");
     t.is(match?.queue.name, narrow.name);
-    t.is(match?.rest, "1");
+    t.is(match?.pathSuffix, "1");
     t.is(findQueue(configuration, "studio.example", "/previews/1")?.queue.name, QUEUE);
     t.is(findQueue(configuration, "other.example", "/previews/1"), undefined);
 });
 
 test("a configuration that can not come into force is refused with every reason", (t) => {
-    t.deepEqual(checkConfiguration(buildWith(buildQueue())), []);
+    t.deepEqual(checkConfiguration(buildConfigurationWith(buildQueue())), []);
     const bad = buildQueue({
         name: "bad" as QueueName,
         pool: "nobody" as PoolName,
         timeoutMs: 0,
     });
-    const findings = checkConfiguration(buildWith(buildQueue(), bad));
+    const findings = checkConfiguration(buildConfigurationWith(buildQueue(), bad));
     t.is(findings.length, 3);
 });
--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -362,7 +362,7 @@
         const answer =
             match === undefined || sinceLeaderContactMs > MAX_REPLICA_STALENESS_MS
                 ? undefined
-                : await this.#stateReader.readState(match.rest as JobId);
+                : await this.#stateReader.readState(match.pathSuffix as JobId);
         if (answer === undefined) {
             throw new MethodError("ask the leader", NOT_LEADER_CODE, { leader: undefined });
         }
--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -190,13 +190,13 @@
         if (match === undefined) {
             return { type: "unknownQueue" };
         }
-        if (call.type === "state" && match.rest === "") {
+        if (call.type === "state" && match.pathSuffix === "") {
             return { type: "pending", count: this.#dispatcher.countPending(match.queue.name) };
         }
-        if (!isJobId(match.rest)) {
+        if (!isJobId(match.pathSuffix)) {
             return { type: "unknownQueue" };
         }
-        const job = match.rest;
+        const job = match.pathSuffix;
         if (call.type === "state") {
             return (await this.#options.stateReader.readState(job)) ?? { type: "unknownJob" };
         }
--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -39,7 +39,7 @@
     OUTCOME_UNKNOWN_CODE,
 } from "../membership/mod.ts";
 import {
-    isListening,
+    isReachable,
     MethodError,
     parseAddress,
     RpcClientPool,
@@ -145,7 +145,7 @@
             zone: options.zone,
             probe: (address) =>
                 this.#peerClients.getClient(address).call<ReachabilityAnswer>(METHODS.reach, {}),
-            canConnect: (address) => isListening(address, PEER_PROBE_TIMEOUT_MS),
+            canConnect: (address) => isReachable(address, PEER_PROBE_TIMEOUT_MS),
             onLeaderFound: (leader) => {
                 this.#router.adoptLeader(leader);
                 void this.#sendHello();
--- a/job/state_store.ts
+++ b/job/state_store.ts
@@ -12,7 +12,7 @@
  * @module
  */
 
-import { applyChartEvent, hasChartEdge, loadChart } from "../chart/mod.ts";
+import { getNextState, hasTransition, loadChart } from "../chart/mod.ts";
 import type { Configuration, QueueConfig, QueueName } from "../configuration/mod.ts";
 import { addCrash, type Crash, type CrashedAttempt } from "./crash_history.ts";
 import type { Fact, FactBatch } from "./facts.ts";
@@ -334,7 +334,7 @@
     }
 
     #endJob(job: Job | undefined, event: "cancel" | "fail" | "complete"): void {
-        if (job === undefined || !hasChartEdge(jobChart, job.state, event)) {
+        if (job === undefined || !hasTransition(jobChart, job.state, event)) {
             return;
         }
         this.#applyJobEvent(job, event);
@@ -351,8 +351,8 @@
     }
 
     #applyJobEvent(job: Job, event: string): void {
-        if (hasChartEdge(jobChart, job.state, event)) {
-            job.state = applyChartEvent(jobChart, job.state, event, NO_GUARDS) as JobState;
+        if (hasTransition(jobChart, job.state, event)) {
+            job.state = getNextState(jobChart, job.state, event, NO_GUARDS) as JobState;
         }
     }
 
--- a/load/experiment.ts
+++ b/load/experiment.ts
@@ -12,7 +12,7 @@
  */
 
 import { z } from "zod";
-import { checkSource } from "../settings/checked.ts";
+import { checkSource } from "../settings/check_source.ts";
 import { parseYamlSource } from "../settings/yaml_source.ts";
 
 /** The schema of an experiment file. */
--- a/log/consensus.ts
+++ b/log/consensus.ts
@@ -13,7 +13,7 @@
  * @module
  */
 
-import { applyChartEvent, loadChart } from "../chart/mod.ts";
+import { getNextState, loadChart } from "../chart/mod.ts";
 import { computeQuorumSize, Followers } from "./_followers.ts";
 import { EntryLog } from "./entry_log.ts";
 import type {
@@ -927,7 +927,7 @@
     }
 
     #applyRoleEvent(event: string): void {
-        this.#role = applyChartEvent(roleChart, this.#role, event, NO_GUARDS) as Role;
+        this.#role = getNextState(roleChart, this.#role, event, NO_GUARDS) as Role;
     }
 }
 
--- a/rpc/http_rpc.ts
+++ b/rpc/http_rpc.ts
@@ -32,7 +32,10 @@
 export type RpcMethod = (params: unknown) => unknown;
 
 /** A plain route: writes its own response. */
-export type Route = (request: IncomingMessage, response: ServerResponse) => void | Promise<void>;
+export type RouteHandler = (
+    request: IncomingMessage,
+    response: ServerResponse,
+) => void | Promise<void>;
 
 /** Options of {@link startRpcServer}. */
 export interface RpcServerOptions {
@@ -42,12 +45,12 @@
     readonly port?: number;
     readonly methods: Readonly<Record<string, RpcMethod>>;
     /** GET routes by path. */
-    readonly routes?: Readonly<Record<string, Route>>;
+    readonly routes?: Readonly<Record<string, RouteHandler>>;
     /** The largest request body taken, in bytes (default 64 MiB: a snapshot is one message). */
     readonly maxBodyBytes?: number;
 }
 
-const CLOSE_SWEEP_MS = 20;
+const IDLE_SWEEP_INTERVAL_MS = 20;
 const DEFAULT_MAX_BODY_BYTES = 64 * 1024 * 1024;
 
 /** A running server. */
@@ -124,7 +127,7 @@
                 : createJSONRPCErrorResponse(request.id ?? null, -32603, message);
         }
     });
-    const maxBody = options.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES;
+    const maxBodyBytes = options.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES;
     let inFlight = 0;
     let received = 0;
     let sent = 0;
@@ -143,16 +146,16 @@
             return;
         }
         const chunks: Buffer[] = [];
-        let size = 0;
+        let bodyBytes = 0;
         req.on("data", (chunk: Buffer) => {
-            size += chunk.length;
-            if (size <= maxBody) {
+            bodyBytes += chunk.length;
+            if (bodyBytes <= maxBodyBytes) {
                 chunks.push(chunk);
             }
         });
         req.on("end", () => {
-            received += size;
-            if (size > maxBody) {
+            received += bodyBytes;
+            if (bodyBytes > maxBodyBytes) {
                 res.writeHead(413).end();
                 return;
             }
@@ -175,9 +178,12 @@
             new Promise<void>((resolve) => {
                 // A connection that answers its last request after this goes idle then, and would
                 // hold the shutdown up for the keep-alive time.
-                const sweep = setInterval(() => server.closeIdleConnections(), CLOSE_SWEEP_MS);
+                const sweepTimer = setInterval(
+                    () => server.closeIdleConnections(),
+                    IDLE_SWEEP_INTERVAL_MS,
+                );
                 server.close(() => {
-                    clearInterval(sweep);
+                    clearInterval(sweepTimer);
                     resolve();
                 });
                 server.closeIdleConnections();
@@ -192,15 +198,15 @@
     } catch {
         return JSON.stringify(createJSONRPCErrorResponse(null, -32700, "parse error"));
     }
-    const answer = await rpc.receive(parsed);
-    return answer === null ? "" : JSON.stringify(answer);
+    const response = await rpc.receive(parsed);
+    return response === null ? "" : JSON.stringify(response);
 }
 
 /** One call on its way. */
 interface CallState {
     readonly timeoutMs: number;
     /** What went wrong on the way. */
-    failure: RpcError | undefined;
+    transportError: RpcError | undefined;
 }
 
 /** A client of one server. */
@@ -271,8 +277,8 @@
                         });
                     },
                 );
-                req.on("socket", (socket) => closeUnconnected(socket, address));
-                const giveUp = (): void => {
+                req.on("socket", (socket) => startConnectTimeout(socket, address));
+                const handleTimeout = (): void => {
                     if (hasResponse) {
                         return;
                     }
@@ -285,17 +291,17 @@
                     closeIdleSockets(sharedAgent, host, port);
                 };
                 // As in `startTimeout`: what has arrived is read before the call is given up.
-                req.on("timeout", () => setImmediate(giveUp));
+                req.on("timeout", () => setImmediate(handleTimeout));
                 req.on("error", (error: NodeJS.ErrnoException) => {
-                    state.failure = toRpcError(error, address);
-                    reject(state.failure);
+                    state.transportError = toRpcError(error, address);
+                    reject(state.transportError);
                 });
                 req.end(body);
             }),
     );
     return {
         call: async <T>(method: string, params: object, callTimeoutMs = timeoutMs): Promise<T> => {
-            const state: CallState = { timeoutMs: callTimeoutMs, failure: undefined };
+            const state: CallState = { timeoutMs: callTimeoutMs, transportError: undefined };
             try {
                 // The socket's own timeout comes first: it knows whether the call was delivered.
                 return (await client
@@ -303,8 +309,8 @@
                     .request(method, params, state)) as T;
             } catch (error) {
                 // The library passes on only the text of what went wrong on the way.
-                if (state.failure !== undefined) {
-                    throw state.failure;
+                if (state.transportError !== undefined) {
+                    throw state.transportError;
                 }
                 const { code, data } = error as { code?: number; data?: unknown };
                 throw new RpcError((error as Error).message, code ?? 0, data);
@@ -315,7 +321,7 @@
 }
 
 /** Gives a connection up that is not open in time, so that a call can go elsewhere, unsent. */
-function closeUnconnected(socket: Socket, address: string): void {
+function startConnectTimeout(socket: Socket, address: string): void {
     if (!socket.connecting) {
         return;
     }
@@ -357,7 +363,7 @@
  * @param timeoutMs How long to wait, in ms.
  * @returns True when one was opened; it is closed again.
  */
-export function isListening(address: string, timeoutMs: number): Promise<boolean> {
+export function isReachable(address: string, timeoutMs: number): Promise<boolean> {
     const [host, port] = parseAddress(address);
     return new Promise((resolve) => {
         const socket = connect({ host, port, timeout: timeoutMs });
@@ -378,6 +384,6 @@
  * @returns The host and the port.
  */
 export function parseAddress(address: string): [string, number] {
-    const at = address.lastIndexOf(":");
-    return [address.slice(0, at), Number(address.slice(at + 1))];
+    const separatorIndex = address.lastIndexOf(":");
+    return [address.slice(0, separatorIndex), Number(address.slice(separatorIndex + 1))];
 }
--- a/rpc/timeout.ts
+++ b/rpc/timeout.ts
@@ -16,15 +16,15 @@
  * Starts a timeout that takes effect only after everything that has arrived by then was read: the
  * event loop reads between its timers and its immediates.
  *
- * @param ms How long to wait, in ms.
+ * @param timeoutMs How long to wait, in ms.
  * @param onTimeout Called once, unless it was cancelled before.
  * @returns Cancels the timeout.
  */
-export function startTimeout(ms: number, onTimeout: () => void): () => void {
+export function startTimeout(timeoutMs: number, onTimeout: () => void): () => void {
     let immediate: NodeJS.Immediate | undefined;
     const timer = setTimeout(() => {
         immediate = setImmediate(onTimeout);
-    }, ms);
+    }, timeoutMs);
     return () => {
         clearTimeout(timer);
         clearImmediate(immediate);
--- a/rpc/timeout_test.ts
+++ b/rpc/timeout_test.ts
@@ -8,7 +8,7 @@
 /** A server whose answer is on its way when the event loop becomes busy. */
 async function startServer(t: ExecutionContext): Promise<number> {
     const server: Server = createServer((_req, res) => {
-        res.end("ok", () => runBusy(3 * TIMEOUT_MS));
+        res.end("ok", () => runBusyLoop(3 * TIMEOUT_MS));
     });
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
     t.teardown(() => server.close());
@@ -16,8 +16,8 @@
 }
 
 /** Keeps the event loop from running, as a burst of other work does. */
-function runBusy(ms: number): void {
-    const end = performance.now() + ms;
+function runBusyLoop(durationMs: number): void {
+    const end = performance.now() + durationMs;
     while (performance.now() < end) {
         // Busy on purpose.
     }
--- a/rules/rules_file.ts
+++ b/rules/rules_file.ts
@@ -13,7 +13,7 @@
 import { z } from "zod";
 import { createId, type CustomerId } from "../inventory/mod.ts";
 import { PLACEMENTS, type Placement, type Rules } from "./rules.ts";
-import { checkSource, checkUnique, type ReportFinding } from "../settings/checked.ts";
+import { checkSource, checkUnique, type ReportFinding } from "../settings/check_source.ts";
 import { parseYamlSource } from "../settings/yaml_source.ts";
 
 const NAME = z.string().regex(/^[a-z0-9][a-z0-9_-]*$/, "use lower-case letters, digits, _ -");
--- a/settings/checked.ts
+++ b/settings/check_source.ts
@@ -3,7 +3,7 @@
  *
  * @example
  * ```ts
- * import { checkSource } from "./checked.ts";
+ * import { checkSource } from "./check_source.ts";
  * const value = checkSource(source, schema, (value, report) => { ... });
  * ```
  *
@@ -23,14 +23,14 @@
  *
  * @param source The parsed file.
  * @param schema The zod schema of the file.
- * @param checkMore Rules the schema cannot say (references, duplicates).
+ * @param checkSemantics Rules the schema cannot say (references, duplicates).
  * @returns The typed value.
  * @throws {FindingsError} With every finding, when there is at least one.
  */
 export function checkSource<S extends z.ZodTypeAny>(
     source: YamlSource,
     schema: S,
-    checkMore: (value: z.infer<S>, report: ReportFinding) => void = () => {},
+    checkSemantics: (value: z.infer<S>, report: ReportFinding) => void = () => {},
 ): z.infer<S> {
     if (source.syntaxFindings.length > 0) {
         throw new FindingsError(source.syntaxFindings);
@@ -42,7 +42,9 @@
         );
     }
     const findings: Finding[] = [];
-    checkMore(parsed.data, (path, message) => findings.push(source.createFinding(path, message)));
+    checkSemantics(parsed.data, (path, message) =>
+        findings.push(source.createFinding(path, message)),
+    );
     if (findings.length > 0) {
         throw new FindingsError(findings);
     }
--- a/settings/deployment_file.ts
+++ b/settings/deployment_file.ts
@@ -14,11 +14,13 @@
 import { z } from "zod";
 import type { ZoneId } from "../inventory/mod.ts";
 import type { Deployment, EntryId, GroupSpec } from "../membership/mod.ts";
-import { checkSource, checkUnique, type ReportFinding } from "./checked.ts";
+import { checkSource, checkUnique, type ReportFinding } from "./check_source.ts";
 import { parseYamlSource } from "./yaml_source.ts";
 
-const NAME = z.string().regex(/^[a-z0-9][a-z0-9_.-]*$/, "use lower-case letters, digits, . _ -");
-const ADDRESS = z.string().regex(/^[^\s:]+:\d+$/, "use host:port");
+const nameSchema = z
+    .string()
+    .regex(/^[a-z0-9][a-z0-9_.-]*$/, "use lower-case letters, digits, . _ -");
+const addressSchema = z.string().regex(/^[^\s:]+:\d+$/, "use host:port");
 
 /** The schema of a deployment file. */
 export const deploymentSchema = z
@@ -27,9 +29,9 @@
             .array(
                 z
                     .object({
-                        id: NAME,
-                        zone: NAME,
-                        address: ADDRESS,
+                        id: nameSchema,
+                        zone: nameSchema,
+                        address: addressSchema,
                         disk: z.boolean().default(true),
                     })
                     .strict(),
@@ -39,14 +41,16 @@
             .array(
                 z
                     .object({
-                        id: NAME,
-                        zones: z.array(NAME).min(1),
-                        voters: z.array(NAME).min(1).optional(),
+                        id: nameSchema,
+                        zones: z.array(nameSchema).min(1),
+                        voters: z.array(nameSchema).min(1).optional(),
                     })
                     .strict(),
             )
             .default([]),
-        callers: z.array(z.object({ caller: z.string().min(1), zone: NAME }).strict()).default([]),
+        callers: z
+            .array(z.object({ caller: z.string().min(1), zone: nameSchema }).strict())
+            .default([]),
         heartbeatMs: z.number().int().min(20).default(250),
         electionMs: z.number().int().min(100).default(1_000),
     })
@@ -78,7 +82,7 @@
 function checkDeployment(value: z.infer<typeof deploymentSchema>, report: ReportFinding): void {
     checkUnique(value.members, (m) => m.id, ["members"], report);
     checkUnique(value.members, (m) => m.address, ["members"], report);
-    checkUnique(value.groups, (g) => g.id, ["groups"], report);
+    checkUnique(value.groups, (group) => group.id, ["groups"], report);
     checkUnique(value.callers, (c) => c.caller, ["callers"], report);
     if (!value.members.some((m) => m.disk)) {
         report(["members"], "no member has a disk; accepted work could not survive a restart");
@@ -87,22 +91,25 @@
         report(["electionMs"], `must be at least 3 times heartbeatMs (${value.heartbeatMs})`);
     }
     const members = new Map(value.members.map((m) => [m.id, m]));
-    const owners = new Map<string, string>();
-    value.groups.forEach((group, g) => {
-        group.zones.forEach((zone, z) => {
-            const owner = owners.get(zone);
+    const zoneOwners = new Map<string, string>();
+    value.groups.forEach((group, groupIndex) => {
+        group.zones.forEach((zone, zoneIndex) => {
+            const owner = zoneOwners.get(zone);
             if (owner !== undefined) {
-                report(["groups", g, "zones", z], `zone "${zone}" is already owned by "${owner}"`);
+                report(
+                    ["groups", groupIndex, "zones", zoneIndex],
+                    `zone "${zone}" is already owned by "${owner}"`,
+                );
             }
-            owners.set(zone, group.id);
+            zoneOwners.set(zone, group.id);
         });
-        (group.voters ?? []).forEach((voter, v) => {
+        (group.voters ?? []).forEach((voter, voterIndex) => {
             const member = members.get(voter);
             if (member === undefined) {
-                report(["groups", g, "voters", v], `unknown member "${voter}"`);
+                report(["groups", groupIndex, "voters", voterIndex], `unknown member "${voter}"`);
             } else if (!member.disk) {
                 report(
-                    ["groups", g, "voters", v],
+                    ["groups", groupIndex, "voters", voterIndex],
                     `"${voter}" has no disk; it would forget its votes in a restart`,
                 );
             }
--- a/settings/inventory_file.ts
+++ b/settings/inventory_file.ts
@@ -21,14 +21,16 @@
     type ServiceId,
     type ZoneId,
 } from "../inventory/mod.ts";
-import { checkSource, checkUnique, type ReportFinding } from "./checked.ts";
+import { checkSource, checkUnique, type ReportFinding } from "./check_source.ts";
 import { parseYamlSource } from "./yaml_source.ts";
 
-const NAME = z.string().regex(/^[a-z0-9][a-z0-9_.-]*$/, "use lower-case letters, digits, . _ -");
+const nameSchema = z
+    .string()
+    .regex(/^[a-z0-9][a-z0-9_.-]*$/, "use lower-case letters, digits, . _ -");
 
 const instanceSchema = z
     .object({
-        id: NAME,
+        id: nameSchema,
         cores: z.number().positive(),
         memoryMb: z.number().int().positive(),
         accelerators: z.number().int().nonnegative().default(0),
@@ -38,21 +40,27 @@
 /** The schema of an inventory file. */
 export const inventorySchema = z
     .object({
-        cell: NAME,
-        zones: z.array(NAME).min(1),
-        services: z.array(z.object({ id: NAME, zones: z.array(NAME).min(1) }).strict()).min(1),
+        cell: nameSchema,
+        zones: z.array(nameSchema).min(1),
+        services: z
+            .array(z.object({ id: nameSchema, zones: z.array(nameSchema).min(1) }).strict())
+            .min(1),
         racks: z
             .array(
                 z
-                    .object({ id: NAME, zone: NAME, instances: z.array(instanceSchema).min(1) })
+                    .object({
+                        id: nameSchema,
+                        zone: nameSchema,
+                        instances: z.array(instanceSchema).min(1),
+                    })
                     .strict(),
             )
             .min(1),
         executors: z.array(
             z
                 .object({
-                    service: NAME,
-                    instance: NAME,
+                    service: nameSchema,
+                    instance: nameSchema,
                     slots: z.number().int().positive(),
                     connections: z.number().int().nonnegative(),
                 })
@@ -79,41 +87,53 @@
 
 function checkReferences(value: InventoryFile, report: ReportFinding): void {
     const zones = new Set(value.zones);
-    checkUnique(value.zones, (z) => z, ["zones"], report);
-    checkUnique(value.services, (s) => s.id, ["services"], report);
-    checkUnique(value.racks, (r) => r.id, ["racks"], report);
+    checkUnique(value.zones, (zone) => zone, ["zones"], report);
+    checkUnique(value.services, (service) => service.id, ["services"], report);
+    checkUnique(value.racks, (rack) => rack.id, ["racks"], report);
     const instanceIds = new Set<string>();
-    value.racks.forEach((rack, r) => {
+    value.racks.forEach((rack, rackIndex) => {
         if (!zones.has(rack.zone)) {
-            report(["racks", r, "zone"], `unknown availability zone "${rack.zone}"`);
+            report(["racks", rackIndex, "zone"], `unknown availability zone "${rack.zone}"`);
         }
-        rack.instances.forEach((instance, i) => {
+        rack.instances.forEach((instance, instanceIndex) => {
             if (instanceIds.has(instance.id)) {
-                report(["racks", r, "instances", i, "id"], `duplicate instance "${instance.id}"`);
+                report(
+                    ["racks", rackIndex, "instances", instanceIndex, "id"],
+                    `duplicate instance "${instance.id}"`,
+                );
             }
             instanceIds.add(instance.id);
         });
     });
-    value.services.forEach((service, s) => {
-        service.zones.forEach((zone, z) => {
+    value.services.forEach((service, serviceIndex) => {
+        service.zones.forEach((zone, zoneIndex) => {
             if (!zones.has(zone)) {
-                report(["services", s, "zones", z], `unknown availability zone "${zone}"`);
+                report(
+                    ["services", serviceIndex, "zones", zoneIndex],
+                    `unknown availability zone "${zone}"`,
+                );
             }
         });
     });
     const services = new Set(value.services.map((s) => s.id));
     const pairs = new Set<string>();
-    value.executors.forEach((executor, e) => {
+    value.executors.forEach((executor, executorIndex) => {
         if (!services.has(executor.service)) {
-            report(["executors", e, "service"], `unknown service "${executor.service}"`);
+            report(
+                ["executors", executorIndex, "service"],
+                `unknown service "${executor.service}"`,
+            );
         }
         if (!instanceIds.has(executor.instance)) {
-            report(["executors", e, "instance"], `unknown instance "${executor.instance}"`);
+            report(
+                ["executors", executorIndex, "instance"],
+                `unknown instance "${executor.instance}"`,
+            );
         }
         const pair = `${executor.service}@${executor.instance}`;
         if (pairs.has(pair)) {
             report(
-                ["executors", e],
+                ["executors", executorIndex],
                 `a second executor of ${executor.service} on ${executor.instance}`,
             );
         }
--- a/settings/settings_test.ts
+++ b/settings/settings_test.ts
@@ -3,7 +3,7 @@
 import { loadInventoryText } from "./inventory_file.ts";
 import { loadRulesText } from "../rules/rules_file.ts";
 
-function buildBadInventory(): string {
+function buildInvalidInventory(): string {
     return [
         "cell: demo",
         "zones: [hall-a]",
@@ -23,14 +23,14 @@
 test("an inventory with several bad lines reports every one with its line, and loads nothing", (t) => {
     // The operator sees one finding per bad line, all at once: a negative core count (line 9).
     // Schema findings come first; references are checked once the shapes are right.
-    const error = t.throws(() => loadInventoryText("inv.yaml", buildBadInventory()), {
+    const error = t.throws(() => loadInventoryText("inv.yaml", buildInvalidInventory()), {
         instanceOf: FindingsError,
     });
     t.deepEqual(
         error?.findings.map((f) => f.line),
         [9],
     );
-    const fixed = buildBadInventory().replace("cores: -4", "cores: 4");
+    const fixed = buildInvalidInventory().replace("cores: -4", "cores: 4");
     const second = t.throws(() => loadInventoryText("inv.yaml", fixed), {
         instanceOf: FindingsError,
     });
--- a/settings/yaml_source.ts
+++ b/settings/yaml_source.ts
@@ -23,7 +23,7 @@
     /** Syntax findings; when any exist, `data` is not to be used. */
     readonly syntaxFindings: readonly Finding[];
     readonly #document: Document;
-    readonly #lines: LineCounter;
+    readonly #lineCounter: LineCounter;
 
     /**
      * @param file The file's path, used in findings.
@@ -31,14 +31,17 @@
      */
     constructor(file: string, text: string) {
         this.file = file;
-        this.#lines = new LineCounter();
-        this.#document = parseDocument(text, { lineCounter: this.#lines, prettyErrors: false });
+        this.#lineCounter = new LineCounter();
+        this.#document = parseDocument(text, {
+            lineCounter: this.#lineCounter,
+            prettyErrors: false,
+        });
         this.syntaxFindings = this.#document.errors.map((error) => {
-            const place = this.#lines.linePos(error.pos[0]);
+            const position = this.#lineCounter.linePos(error.pos[0]);
             return {
                 file,
-                line: place.line,
-                column: place.col,
+                line: position.line,
+                column: position.col,
                 path: "",
                 message: error.message.split("\n")[0] ?? error.code,
             };
@@ -59,9 +62,9 @@
         for (let depth = path.length; depth >= 0; depth--) {
             const node = this.#document.getIn(path.slice(0, depth), true);
             if (isNode(node) && node.range !== undefined && node.range !== null) {
-                const place = this.#lines.linePos(node.range[0]);
-                line = place.line;
-                column = place.col;
+                const position = this.#lineCounter.linePos(node.range[0]);
+                line = position.line;
+                column = position.col;
                 break;
             }
         }
@@ -82,6 +85,8 @@
 
 function formatPath(path: readonly (string | number)[]): string {
     return path
-        .map((part, i) => (typeof part === "number" ? `[${part}]` : i === 0 ? part : `.${part}`))
+        .map((segment, i) =>
+            typeof segment === "number" ? `[${segment}]` : i === 0 ? segment : `.${segment}`,
+        )
         .join("");
 }
