--- a/chart/chart.ts
+++ b/chart/chart.ts
@@ -1,12 +1,12 @@
 /**
- * State charts kept in YAML data files and interpreted here: a request's life and a lease's
- * life are data that a reviewer reads in one place, and the code can only move along their edges.
+ * State charts that are defined in YAML files and interpreted at run time. They restrict requests,
+ * leases and other objects to the declared transitions.
  *
  * @example
  * ```ts
- * import { loadChart, applyChartEvent } from "./chart.ts";
+ * import { loadChart, getNextState } from "./chart.ts";
  * const chart = loadChart(new URL("./request_chart.yaml", import.meta.url));
- * const next = applyChartEvent(chart, "queued", "grant", new Set());
+ * const next = getNextState(chart, "queued", "grant", new Set());
  * ```
  *
  * @module
@@ -42,23 +42,23 @@
     readonly name: string;
     readonly initial: string;
     readonly finalStates: ReadonlySet<string>;
-    /** `from` and `event` to the edges leaving with that event, in file order. */
+    /** Transitions by source state and event, joined by a NUL character, in file order. */
     readonly transitions: ReadonlyMap<string, readonly ChartTransition[]>;
 }
 
-/** One edge of a chart. */
+/** A transition of a state chart. */
 export interface ChartTransition {
     readonly to: string;
-    /** A guard the caller must hold for the edge to be taken. */
+    /** The guard that must hold for the transition to be taken, if any. */
     readonly guard: string | undefined;
 }
 
-/** Thrown when an event has no edge from the current state: a bug or a message out of order. */
+/** Thrown when the current state has no transition for an event. */
 export class ChartError extends Error {
     /**
-     * @param chart The chart's name.
+     * @param chart The name of the chart.
      * @param state The current state.
-     * @param event The event that has no edge.
+     * @param event The event without a transition.
      */
     constructor(chart: string, state: string, event: string) {
         super(`${chart}: no edge for event "${event}" from state "${state}"`);
@@ -67,11 +67,11 @@
 }
 
 /**
- * Loads and checks a chart file.
+ * Loads and validates a chart file.
  *
- * @param url The YAML file.
- * @returns The chart.
- * @throws {Error} When the file does not match the chart schema or names unknown states.
+ * @param url The URL of the YAML file.
+ * @returns The state chart.
+ * @throws {Error} When the file doesn't match the schema or a transition names an unknown state.
  */
 export function loadChart(url: URL): StateChart {
     const value = chartSchema.parse(parseYaml(readFileSync(url, "utf8")));
@@ -101,14 +101,15 @@
 }
 
 /**
- * Finds the state that `event` leads to from `state`.
+ * Returns the state that an event leads to: the target of the first transition that has no guard or
+ * whose guard holds.
  *
- * @param chart The chart.
+ * @param chart The state chart.
  * @param state The current state.
- * @param event The event.
- * @param guards The guards that hold now; the first edge whose guard holds (or has none) wins.
+ * @param event The event to look up.
+ * @param guards The guards that currently hold.
  * @returns The next state.
- * @throws {ChartError} When no edge fits.
+ * @throws {ChartError} When no transition applies.
  */
 export function getNextState(
     chart: StateChart,
@@ -125,12 +126,12 @@
 }
 
 /**
- * Tells whether an event has an edge from a state.
+ * Checks whether a state has a transition for an event, with or without a guard.
  *
- * @param chart The chart.
+ * @param chart The state chart.
  * @param state The current state.
- * @param event The event.
- * @returns True when at least one edge leaves `state` on `event`.
+ * @param event The event to look up.
+ * @returns True when at least one transition leaves `state` on `event`.
  */
 export function hasTransition(chart: StateChart, state: string, event: string): boolean {
     return chart.transitions.has(`${state}\u0000${event}`);
--- a/chart/mod.ts
+++ b/chart/mod.ts
@@ -1,9 +1,9 @@
 /**
- * State charts as data: load a YAML chart and move along its edges.
+ * State charts defined in YAML: loading and evaluation of transitions.
  *
  * @example
  * ```ts
- * import { loadChart, applyChartEvent } from "./mod.ts";
+ * import { loadChart, getNextState } from "./mod.ts";
  * ```
  *
  * @module
--- a/configuration/configuration.ts
+++ b/configuration/configuration.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of a configuration, and the queue that a call belongs to.
+ * Validation of a configuration, and routing of calls to queues.
  *
  * @example
  * ```ts
@@ -12,19 +12,19 @@
 
 import type { Configuration, QueueConfig } from "./types.ts";
 
-/** A call's queue and what follows the queue's prefix in the path. */
+/** The queue of a call and the part of the path after the queue's prefix. */
 export interface QueueMatch {
     readonly queue: QueueConfig;
     readonly pathSuffix: string;
 }
 
 /**
- * Finds the queue of a call: the host must be the queue's, the longest prefix wins.
+ * Finds the queue of a call by its host and the longest matching path prefix.
  *
- * @param configuration The configuration in force.
- * @param host The host that the caller named, without a port.
- * @param path The path of the call.
- * @returns The queue, or `undefined` when there is none.
+ * @param configuration The active configuration.
+ * @param host The requested host, without the port.
+ * @param path The requested path.
+ * @returns The matching queue, or `undefined` when no queue matches.
  */
 export function findQueue(
     configuration: Configuration,
@@ -44,10 +44,10 @@
 }
 
 /**
- * Checks what the schema of a configuration cannot say.
+ * Checks the rules that the schema of a configuration can't express.
  *
- * @param configuration The configuration.
- * @returns What is wrong, one sentence each; empty when it may come into force.
+ * @param configuration The configuration to check.
+ * @returns A description of each problem; empty when the configuration is valid.
  */
 export function checkConfiguration(configuration: Configuration): string[] {
     const findings: string[] = [];
--- a/configuration/mod.ts
+++ b/configuration/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' configuration: queues, pools of workers, limits; versions, checks, look-up.
+ * The operators' configuration: queues, worker pools and limits, with validation and routing.
  *
  * @example
  * ```ts
--- a/configuration/types.ts
+++ b/configuration/types.ts
@@ -1,6 +1,7 @@
 /**
- * The operators' configuration: queues that callers submit to, the pools of workers that serve
- * them, and limits on calls. It is replaced whole; the highest version is in force.
+ * The operators' configuration: queues that callers submit to, the worker pools that serve them,
+ * and limits on calls. A new version replaces the whole configuration; the highest version is
+ * active.
  *
  * @example
  * ```ts
@@ -13,67 +14,69 @@
 
 import type { Brand } from "../inventory/mod.ts";
 
-/** A queue of jobs. */
+/** Name of a queue of jobs. */
 export type QueueName = Brand<string, "QueueName">;
-/** A pool of workers that run the same kinds of task. */
+/** Name of a pool of workers that run the same kinds of task. */
 export type PoolName = Brand<string, "PoolName">;
 
 /**
- * A queue whose policy admits only some workers to a step. Another service names them, one call
- * at a time for each calling instance, which makes its calls a scarce resource.
+ * The cost and validity of admission decisions, for a queue whose policy admits only some workers
+ * to a step. An external service decides and handles one call at a time per calling instance.
  */
 export interface AdvicePolicy {
-    /** Time of one call, in ms, before any worker is considered. */
+    /** Fixed duration of one call, in ms. */
     readonly decideMs: number;
-    /** Further time for each worker named in the call, in ms. */
+    /** Additional duration per worker named in the call, in ms. */
     readonly perWorkerMs: number;
-    /** How long an admission ticket may be used, in ms. */
+    /** Lifetime of an admission ticket, in ms. */
     readonly validMs: number;
 }
 
-/** One queue. */
+/** A queue of jobs with its route, worker pool and scheduling policy. */
 export interface QueueConfig {
     readonly name: QueueName;
-    /** The host that callers name. */
+    /** The host that callers address. */
     readonly host: string;
-    /** Paths of this queue begin with it; the longest prefix wins. */
+    /** The path prefix of the queue's calls; the longest matching prefix wins. */
     readonly pathPrefix: string;
     readonly pool: PoolName;
-    /** 0 comes first and may preempt the others. */
+    /** Scheduling priority; 0 is the highest and may preempt the others. */
     readonly priority: number;
-    /** A task, or a gang, that failed this often fails its job. */
+    /** The number of failed attempts at which a task or a gang fails its job. */
     readonly maxAttempts: number;
-    /** How many times its own work a job may take before it counts as late. */
+    /** Allowed slowdown: the latency target of a job as a multiple of its own work. */
     readonly stretch: number;
-    /** Time on top of the stretched work before a job counts as late, in ms. */
+    /** Added to the multiple of the work to give the latency target, in ms. */
     readonly targetLatencyMs: number;
-    /** How long a call may take, in ms. */
+    /** Timeout of a call, in ms. */
     readonly timeoutMs: number;
     readonly advice: AdvicePolicy | undefined;
 }
 
-/** One pool of workers. */
+/** A pool of workers. */
 export interface PoolConfig {
     readonly name: PoolName;
-    /** Whether its workers refuse what does not fit; otherwise the scheduler's account is all. */
+    /**
+     * Whether workers reject tasks that exceed their capacity; otherwise only the scheduler checks.
+     */
     readonly hasAdmissionCheck: boolean;
-    /** Its instances are switched off and cost nothing. */
+    /** Whether the instances are on standby: powered off, at no cost. */
     readonly isStandby: boolean;
 }
 
-/** Limits on callers' calls. */
+/** Limits on calls from callers. */
 export interface CallLimits {
     readonly maxBodyBytes: number;
     readonly headerTimeoutMs: number;
     readonly idleTimeoutMs: number;
 }
 
-/** A whole configuration. */
+/** A version of the complete configuration. */
 export interface Configuration {
     readonly version: number;
     readonly queues: readonly QueueConfig[];
     readonly pools: readonly PoolConfig[];
     readonly limits: CallLimits;
-    /** What the operator sent, to be read back as it was. */
+    /** The original document from the operator, returned unchanged when read. */
     readonly document: unknown;
 }
--- a/hashing/mod.ts
+++ b/hashing/mod.ts
@@ -1,21 +1,22 @@
 /**
- * A fast hash for drawing lots that fall alike in every process. It keeps no secret.
+ * A fast, non-cryptographic hash that gives every process the same value, for example to sample
+ * requests consistently.
  *
  * @example
  * ```ts
  * import { computeHash } from "./mod.ts";
- * const isDrawn = computeHash("5c0e7a21d94b36f8") % 4 === 0;
+ * const isSampled = computeHash("5c0e7a21d94b36f8") % 4 === 0;
  * ```
  *
  * @module
  */
 
 /**
- * Computes the 32-bit FNV-1a hash of a text, its high bits folded into the low ones, which alone would follow the
- * last character.
+ * Computes the 32-bit FNV-1a hash of a text. The high bits are folded into the low ones, which on
+ * their own depend mostly on the last character.
  *
- * @param text The text.
- * @returns A whole number from 0 to 2^32 - 1.
+ * @param text The text to hash.
+ * @returns An integer from 0 to 2^32 - 1.
  */
 export function computeHash(text: string): number {
     let hash = 0x811c9dc5;
--- a/inventory/ids.ts
+++ b/inventory/ids.ts
@@ -1,6 +1,6 @@
 /**
- * Branded ids: strings that the type checker keeps apart, so an instance id cannot be passed
- * where a rack id is wanted.
+ * Branded id types, which keep the compiler from accepting, for example, an instance id in place of
+ * a rack id.
  *
  * @example
  * ```ts
@@ -13,35 +13,36 @@
 
 declare const brandTag: unique symbol;
 
-/** A value of type `T` marked with the brand `B`; the mark exists only for the type checker. */
+/** A `T` with the brand `B`, which exists only at compile time. */
 export type Brand<T, B extends string> = T & { readonly [brandTag]: B };
 
-/** An instance (a machine) from the operators' asset register. */
+/** An instance (a machine) listed in the operators' asset register. */
 export type InstanceId = Brand<string, "InstanceId">;
-/** A rack of instances. */
+/** A rack that holds instances. */
 export type RackId = Brand<string, "RackId">;
 /** An availability zone. */
 export type ZoneId = Brand<string, "ZoneId">;
-/** A service such as `studio-intake` or `cerimonia`. */
+/** A service that callers send work to, such as `studio-intake` or `cerimonia`. */
 export type ServiceId = Brand<string, "ServiceId">;
-/** An executor: one service's slot pool on one instance. */
+/** An executor: the slots of one service on one instance. */
 export type ExecutorId = Brand<string, "ExecutorId">;
-/** A customer (team) that owns requests and has a quota. */
+/** A customer (a team) that owns requests and has a quota. */
 export type CustomerId = Brand<string, "CustomerId">;
 /** A request accepted by the cell. */
 export type RequestId = Brand<string, "RequestId">;
-/** One task of a request (a gang job or a service has several). */
+/** A task of a request; a gang job or a service has several. */
 export type TaskId = Brand<string, "TaskId">;
-/** A lease of one task to one worker. */
+/** A lease that assigns one task to one worker. */
 export type LeaseId = Brand<string, "LeaseId">;
-/** A process of poplarhead (entry instance or stand-in). */
+/** A poplarhead process: an entry instance, or a simulated outside system such as a worker. */
 export type ProcessId = Brand<string, "ProcessId">;
 
 /**
- * Brands a plain string as an id. Use it only where the string was checked (settings, wire).
+ * Brands a string as an id without checking it. Use it only on validated strings, such as those
+ * from settings files or RPC messages.
  *
- * @param value The plain string.
- * @returns The same string with the brand `T`.
+ * @param value The validated string.
+ * @returns The same string, branded as `T`.
  */
 export function createId<T extends Brand<string, string>>(value: string): T {
     return value as T;
--- a/inventory/inventory.ts
+++ b/inventory/inventory.ts
@@ -1,6 +1,6 @@
 /**
- * The inventory: instances, racks, availability zones, services and executors, as the operators
- * load it from their asset register.
+ * The inventory of a cell: instances, racks, availability zones, services and executors, as listed
+ * in the operators' asset register.
  *
  * @example
  * ```ts
@@ -13,13 +13,13 @@
 
 import type { ExecutorId, InstanceId, RackId, ServiceId, ZoneId } from "./ids.ts";
 
-/** Resources of one instance, or what one task asks for. Cores may be fractional. */
+/** The capacity of an instance or the demand of a task. */
 export interface Resources {
-    /** Processor cores. */
+    /** CPU cores; may be fractional. */
     readonly cores: number;
     /** Memory in MiB. */
     readonly memoryMb: number;
-    /** Accelerators (whole devices). */
+    /** Accelerators, in whole devices. */
     readonly accelerators: number;
 }
 
@@ -31,14 +31,14 @@
     readonly capacity: Resources;
 }
 
-/** One service's slot pool on one instance. */
+/** The slots and connections of one service on one instance. */
 export interface Executor {
     readonly id: ExecutorId;
     readonly service: ServiceId;
     readonly instance: InstanceId;
-    /** Tasks of the service that may run on the instance at once. */
+    /** The most tasks of the service that run on the instance at the same time. */
     readonly slots: number;
-    /** Open connections (streams) that the executor may hold. */
+    /** The most connections (streams) that the executor keeps open. */
     readonly connections: number;
 }
 
@@ -57,15 +57,15 @@
     readonly executors: readonly Executor[];
 }
 
-/** No resources at all. */
+/** Zero of every resource. */
 export const NO_RESOURCES: Resources = { cores: 0, memoryMb: 0, accelerators: 0 };
 
 /**
- * Adds two resource amounts.
+ * Adds two amounts of resources.
  *
  * @param a The first amount.
  * @param b The second amount.
- * @returns Their sum.
+ * @returns The sum, per resource.
  */
 export function addResources(a: Resources, b: Resources): Resources {
     return {
@@ -76,7 +76,7 @@
 }
 
 /**
- * Subtracts `b` from `a`; the result may be negative.
+ * Subtracts one amount of resources from another; the result may be negative.
  *
  * @param a The amount to subtract from.
  * @param b The amount to subtract.
@@ -91,11 +91,12 @@
 }
 
 /**
- * Tells whether `demand` fits into `free`.
+ * Checks whether a demand fits into the free capacity. Cores are compared with a tolerance for
+ * floating-point error.
  *
- * @param demand What a task asks for.
- * @param free What is left on an instance.
- * @returns True when every resource of `demand` is at most that of `free`.
+ * @param demand The resources that a task requests.
+ * @param free The free capacity of an instance.
+ * @returns True when no resource of `demand` exceeds that of `free`.
  */
 export function isFitting(demand: Resources, free: Resources): boolean {
     return (
@@ -106,10 +107,10 @@
 }
 
 /**
- * Takes the larger of two amounts, per resource.
+ * Returns the maximum of two amounts, per resource.
  *
- * @param a One amount.
- * @param b The other.
+ * @param a The first amount.
+ * @param b The second amount.
  * @returns The per-resource maximum.
  */
 export function getMaxResources(a: Resources, b: Resources): Resources {
@@ -121,10 +122,10 @@
 }
 
 /**
- * Adds up the cores of every instance.
+ * Adds up the cores of all instances.
  *
- * @param inventory The inventory.
- * @returns Total cores.
+ * @param inventory The inventory to total.
+ * @returns The number of cores.
  */
 export function getTotalCores(inventory: Inventory): number {
     return inventory.instances.reduce((sum, instance) => sum + instance.capacity.cores, 0);
--- a/inventory/mod.ts
+++ b/inventory/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Instances, racks, availability zones, services and executors, with branded ids.
+ * The inventory of a cell (instances, racks, availability zones, services and executors) and the
+ * branded id types.
  *
  * @example
  * ```ts
--- a/rpc/client_pool.ts
+++ b/rpc/client_pool.ts
@@ -1,5 +1,5 @@
 /**
- * Clients of many servers, one per address, with their bytes summed.
+ * A pool of JSON-RPC clients, one per server address, with their total byte counts.
  *
  * @example
  * ```ts
@@ -13,17 +13,17 @@
 
 import { createRpcClient, type RpcClient } from "./http_rpc.ts";
 
-/** Bytes over JSON-RPC. */
+/** Bytes of JSON-RPC message bodies. */
 export interface ByteCounts {
     readonly received: number;
     readonly sent: number;
 }
 
 /**
- * Sums byte counts.
+ * Adds up byte counts.
  *
- * @param counts The counts.
- * @returns Their sum.
+ * @param counts The counts to add.
+ * @returns The total received and sent.
  */
 export function addByteCounts(counts: readonly ByteCounts[]): ByteCounts {
     return {
@@ -32,28 +32,28 @@
     };
 }
 
-/** One client per address. */
+/** Creates clients on demand and keeps one per address. */
 export class RpcClientPool {
     readonly #timeoutMs: number;
     readonly #clients = new Map<string, RpcClient>();
 
     /**
-     * @param options How long one call may take, in ms.
+     * @param options The timeout of each call, in ms.
      */
     constructor(options: { readonly timeoutMs: number }) {
         this.#timeoutMs = options.timeoutMs;
     }
 
-    /** Bytes sent and received by all clients. */
+    /** Total bytes sent and received by all clients of the pool. */
     get bytes(): ByteCounts {
         return addByteCounts([...this.#clients.values()].map((c) => c.bytes()));
     }
 
     /**
-     * Gives the client of an address.
+     * Returns the client of an address and creates it on first use.
      *
      * @param address `host:port`.
-     * @returns Its client.
+     * @returns The client.
      */
     getClient(address: string): RpcClient {
         let client = this.#clients.get(address);
--- a/rpc/http_rpc.ts
+++ b/rpc/http_rpc.ts
@@ -1,6 +1,6 @@
 /**
- * JSON-RPC 2.0 over Node's `http`, both sides, between poplarhead's own processes and towards
- * callers and operators. The server also serves plain routes (`/metrics`, `/readyz`).
+ * JSON-RPC 2.0 server and client over Node's `http`, used between poplarhead's processes and by
+ * callers and operators. The server also serves plain GET routes such as `/metrics` and `/readyz`.
  *
  * @example
  * ```ts
@@ -28,10 +28,10 @@
     type JSONRPCRequest,
 } from "json-rpc-2.0";
 
-/** A method: takes the params object, returns the result (or a promise of it). */
+/** Handles one JSON-RPC method: takes the params and returns the result or a promise of it. */
 export type RpcMethod = (params: unknown) => unknown;
 
-/** A plain route: writes its own response. */
+/** Handles a plain HTTP request and writes the response itself. */
 export type RouteHandler = (
     request: IncomingMessage,
     response: ServerResponse,
@@ -39,45 +39,46 @@
 
 /** Options of {@link startRpcServer}. */
 export interface RpcServerOptions {
-    /** Defaults to 127.0.0.1. */
+    /** The address to bind (default 127.0.0.1). */
     readonly host?: string;
-    /** 0 (the default) takes a free port. */
+    /** The port to listen on; 0, the default, selects a free one. */
     readonly port?: number;
     readonly methods: Readonly<Record<string, RpcMethod>>;
-    /** GET routes by path. */
+    /** Handlers of GET requests, by path. */
     readonly routes?: Readonly<Record<string, RouteHandler>>;
-    /** The largest request body taken, in bytes (default 64 MiB: a snapshot is one message). */
+    /** The largest accepted request body, in bytes (default 64 MiB: a snapshot is one message). */
     readonly maxBodyBytes?: number;
 }
 
+/** How often a closing server closes connections that have become idle, in ms. */
 const IDLE_SWEEP_INTERVAL_MS = 20;
 const DEFAULT_MAX_BODY_BYTES = 64 * 1024 * 1024;
 
-/** A running server. */
+/** A running JSON-RPC server. */
 export interface RpcServer {
-    /** `host:port` it listens on. */
+    /** The `host:port` that the server listens on. */
     readonly address: string;
-    /** Requests being served now. */
+    /** Returns the number of requests in progress. */
     readonly inFlight: () => number;
-    /** Bytes received and sent since start. */
+    /** Returns the body bytes received and sent since the server started. */
     readonly bytes: () => { received: number; sent: number };
-    /** Stops taking connections and waits for the requests in flight to end. */
+    /** Stops accepting connections and waits for the requests in flight to complete. */
     readonly close: () => Promise<void>;
 }
 
-/** Thrown by a client call when the server answered with an error or could not be reached. */
+/** Thrown by a client call on an error response, a timeout or a transport failure. */
 export class RpcError extends Error {
     /** The JSON-RPC error code, or 0 for a transport failure. */
     readonly code: number;
-    /** No connection could be opened, so the call was not sent. */
+    /** Whether the call was never sent, because no connection was opened. */
     isUndelivered = false;
-    /** What the server added for the program to read, such as when to come back. */
+    /** Machine-readable details from the server, such as a retry delay. */
     readonly data: unknown;
 
     /**
-     * @param message What failed.
-     * @param code The JSON-RPC error code, 0 for transport.
-     * @param data What the server added.
+     * @param message A description of the failure.
+     * @param code The JSON-RPC error code, or 0 for a transport failure.
+     * @param data Machine-readable details from the server.
      */
     constructor(message: string, code: number, data?: unknown) {
         super(message);
@@ -87,16 +88,16 @@
     }
 }
 
-/** An error that a method throws to give the caller a JSON-RPC error with a code. */
+/** Thrown by a method to send the caller a JSON-RPC error with a given code. */
 export class MethodError extends Error {
     readonly code: number;
-    /** What the caller's program may read, such as when to come back. */
+    /** Machine-readable details for the caller, such as a retry delay. */
     readonly data: unknown;
 
     /**
-     * @param message What is wrong, for the caller.
+     * @param message A description of the error for the caller.
      * @param code A JSON-RPC application error code (-32000 and below).
-     * @param data What the caller's program may read.
+     * @param data Machine-readable details for the caller.
      */
     constructor(message: string, code = -32000, data?: unknown) {
         super(message);
@@ -107,10 +108,10 @@
 }
 
 /**
- * Starts a JSON-RPC server on `POST /rpc`, with plain GET routes beside it.
+ * Starts an HTTP server that serves JSON-RPC on `POST /rpc` and the given GET routes.
  *
- * @param options Host, port, methods and routes.
- * @returns The running server, once it listens.
+ * @param options The host, port, methods and routes.
+ * @returns The server, once it is listening.
  */
 export async function startRpcServer(options: RpcServerOptions): Promise<RpcServer> {
     const rpc = new JSONRPCServer({ errorListener: () => {} });
@@ -176,8 +177,8 @@
         bytes: () => ({ received, sent }),
         close: () =>
             new Promise<void>((resolve) => {
-                // A connection that answers its last request after this goes idle then, and would
-                // hold the shutdown up for the keep-alive time.
+                // Connections that are still busy become idle later and would otherwise delay the
+                // shutdown by the keep-alive timeout.
                 const sweepTimer = setInterval(
                     () => server.closeIdleConnections(),
                     IDLE_SWEEP_INTERVAL_MS,
@@ -202,43 +203,43 @@
     return response === null ? "" : JSON.stringify(response);
 }
 
-/** One call on its way. */
+/** State of one call that the HTTP transport shares with the caller. */
 interface CallState {
     readonly timeoutMs: number;
-    /** What went wrong on the way. */
+    /** The transport failure that ended the call, if any. */
     transportError: RpcError | undefined;
 }
 
-/** A client of one server. */
+/** A client of one JSON-RPC server. */
 export interface RpcClient {
     /**
      * Calls a method.
      *
-     * @param method The method's name.
-     * @param params Its params object.
-     * @param callTimeoutMs How long this call may take, in ms, if other than the client's.
-     * @returns The result.
-     * @throws {RpcError} On an error answer, a timeout or a transport failure.
+     * @param method The method name.
+     * @param params The params object.
+     * @param callTimeoutMs The timeout of this call, in ms (default: the client's).
+     * @returns The result of the method.
+     * @throws {RpcError} On an error response, a timeout or a transport failure.
      */
     readonly call: <T>(method: string, params: object, callTimeoutMs?: number) => Promise<T>;
-    /** Bytes sent and received by this client. */
+    /** Returns the body bytes sent and received by this client. */
     readonly bytes: () => { received: number; sent: number };
 }
 
 /**
- * An instance that has not opened a connection by then is off or cut off, in ms: the way takes some
- * ms, in another region some tens.
+ * The longest time to open a connection, in ms; after it the server counts as unreachable. It is
+ * well above the round trip to another region.
  */
 const CONNECT_TIMEOUT_MS = 300;
-/** How much later than the socket the caller's own timer gives a call up, in ms. */
+/** Margin of the client library's timeout over the socket's timeout, in ms. */
 const CALL_TIMEOUT_SLACK_MS = 50;
 const sharedAgent = new Agent({ keepAlive: true, maxSockets: 64 });
 
 /**
- * Creates a client of the server at `address`.
+ * Creates a client of the server at `address`. All clients share one keep-alive agent.
  *
  * @param address `host:port`.
- * @param timeoutMs How long one call may take, in ms (default 5 s).
+ * @param timeoutMs The timeout of each call, in ms (default 5 s).
  * @returns The client.
  */
 export function createRpcClient(address: string, timeoutMs = 5_000): RpcClient {
@@ -258,8 +259,8 @@
                         method: "POST",
                         path: "/rpc",
                         agent: sharedAgent,
-                        // Destroys the socket too: one left open to a frozen process for every
-                        // timed-out call would use up the agent's sockets.
+                        // The handler of this timeout destroys the socket, so that calls to a
+                        // frozen process don't exhaust the agent's sockets.
                         timeout: state.timeoutMs,
                         headers: { "content-type": "application/json" },
                     },
@@ -290,7 +291,8 @@
                     req.destroy(error);
                     closeIdleSockets(sharedAgent, host, port);
                 };
-                // As in `startTimeout`: what has arrived is read before the call is given up.
+                // Reads data that has already arrived before the call times out; see
+                // `startTimeout`.
                 req.on("timeout", () => setImmediate(handleTimeout));
                 req.on("error", (error: NodeJS.ErrnoException) => {
                     state.transportError = toRpcError(error, address);
@@ -303,12 +305,13 @@
         call: async <T>(method: string, params: object, callTimeoutMs = timeoutMs): Promise<T> => {
             const state: CallState = { timeoutMs: callTimeoutMs, transportError: undefined };
             try {
-                // The socket's own timeout comes first: it knows whether the call was delivered.
+                // The socket's timeout is shorter and fires first, as it can tell whether the call
+                // was sent.
                 return (await client
                     .timeout(callTimeoutMs + CALL_TIMEOUT_SLACK_MS)
                     .request(method, params, state)) as T;
             } catch (error) {
-                // The library passes on only the text of what went wrong on the way.
+                // The library keeps only the message of a transport error.
                 if (state.transportError !== undefined) {
                     throw state.transportError;
                 }
@@ -320,7 +323,9 @@
     };
 }
 
-/** Gives a connection up that is not open in time, so that a call can go elsewhere, unsent. */
+/**
+ * Destroys a socket that doesn't connect in time, so that the unsent call can be retried elsewhere.
+ */
 function startConnectTimeout(socket: Socket, address: string): void {
     if (!socket.connecting) {
         return;
@@ -344,12 +349,12 @@
 }
 
 /**
- * Closes the idle connections of an agent to one server. Connections can go silent without a
- * reset; after one did, the others are not trusted with a call that would have to time out too.
+ * Closes an agent's idle connections to one server. After a timeout, the other connections may be
+ * half-open too, and calls that reuse them would also time out.
  *
- * @param agent The agent.
- * @param host The server's host.
- * @param port The server's port.
+ * @param agent The HTTP agent.
+ * @param host The host of the server.
+ * @param port The port of the server.
  */
 export function closeIdleSockets(agent: Agent, host: string, port: number): void {
     const idle = agent.freeSockets[agent.getName({ host, port })] ?? [];
@@ -357,11 +362,12 @@
 }
 
 /**
- * Tells whether a new connection to a server can be opened. A cut way fails; a server that is busy does not.
+ * Checks whether a server accepts a new TCP connection. A network partition makes the check fail;
+ * a busy server does not.
  *
  * @param address `host:port`.
- * @param timeoutMs How long to wait, in ms.
- * @returns True when one was opened; it is closed again.
+ * @param timeoutMs The longest time to wait, in ms.
+ * @returns True when a connection was opened; it is closed again.
  */
 export function isReachable(address: string, timeoutMs: number): Promise<boolean> {
     const [host, port] = parseAddress(address);
@@ -378,7 +384,7 @@
 }
 
 /**
- * Splits an address.
+ * Splits an address into its host and its port.
  *
  * @param address `host:port`.
  * @returns The host and the port.
--- a/rpc/mod.ts
+++ b/rpc/mod.ts
@@ -1,5 +1,5 @@
 /**
- * JSON-RPC 2.0 over Node `http` between poplarhead's processes.
+ * JSON-RPC 2.0 server, clients and timeouts for the calls between poplarhead's processes.
  *
  * @example
  * ```ts
--- a/rpc/timeout.ts
+++ b/rpc/timeout.ts
@@ -1,7 +1,6 @@
 /**
- * Timeouts that are fair on a busy event loop. The pattern: a loop that is late runs its timers before
- * it reads what has arrived, so answers that came in time count as missing. Each of them is then asked
- * for again, which makes the loop later still.
+ * Timeouts that tolerate event loop delay. A delayed event loop runs expired timers before it reads
+ * from sockets, so a plain timer would time out calls whose response has already arrived.
  *
  * @example
  * ```ts
@@ -13,12 +12,12 @@
  */
 
 /**
- * Starts a timeout that takes effect only after everything that has arrived by then was read: the
- * event loop reads between its timers and its immediates.
+ * Starts a timeout that fires only after the event loop has read the data that arrived by then. The
+ * event loop polls for I/O between its timers phase and its immediates.
  *
- * @param timeoutMs How long to wait, in ms.
- * @param onTimeout Called once, unless it was cancelled before.
- * @returns Cancels the timeout.
+ * @param timeoutMs The time to wait, in ms.
+ * @param onTimeout Called once on expiry, unless the timeout is cancelled first.
+ * @returns A function that cancels the timeout.
  */
 export function startTimeout(timeoutMs: number, onTimeout: () => void): () => void {
     let immediate: NodeJS.Immediate | undefined;
--- a/rpc/timeout_test.ts
+++ b/rpc/timeout_test.ts
@@ -5,7 +5,7 @@
 
 const TIMEOUT_MS = 60;
 
-/** A server whose answer is on its way when the event loop becomes busy. */
+/** Starts a server that blocks the event loop right after it has sent its response. */
 async function startServer(t: ExecutionContext): Promise<number> {
     const server: Server = createServer((_req, res) => {
         res.end("ok", () => runBusyLoop(3 * TIMEOUT_MS));
@@ -15,17 +15,16 @@
     return (server.address() as AddressInfo).port;
 }
 
-/** Keeps the event loop from running, as a burst of other work does. */
+/** Blocks the event loop for a given time. */
 function runBusyLoop(durationMs: number): void {
     const end = performance.now() + durationMs;
     while (performance.now() < end) {
-        // Busy on purpose.
+        // Spins until the time is over.
     }
 }
 
 test("an answer that arrived while the loop was busy is not given up", async (t) => {
-    // The answer lies in the socket when the loop comes back after the timeout. Timers run first: a
-    // plain timer gives the call up, although nothing was late but this process itself.
+    // Timers run before I/O, so a plain timer would expire with the response already in the socket.
     const port = await startServer(t);
     const outcome = await new Promise<string>((resolve) => {
         const req = sendHttp({ host: "127.0.0.1", port }, () => {
--- a/settings/check_source.ts
+++ b/settings/check_source.ts
@@ -1,5 +1,5 @@
 /**
- * Checks a YAML source against a zod schema and further rules, collecting every finding.
+ * Validates a YAML source against a zod schema and additional rules, and collects all findings.
  *
  * @example
  * ```ts
@@ -14,18 +14,18 @@
 import { FindingsError, type Finding } from "./findings.ts";
 import type { YamlSource } from "./yaml_source.ts";
 
-/** Reports one finding at a path of the data. */
+/** Reports a finding at a path in the data. */
 export type ReportFinding = (path: readonly (string | number)[], message: string) => void;
 
 /**
- * Checks the source: syntax, then the schema, then `checkMore` on the typed value.
- * Every finding of the stage that failed is reported at once; nothing is returned then.
+ * Validates a source in three stages: syntax, schema and `checkSemantics`. The first stage that
+ * fails throws all of its findings.
  *
  * @param source The parsed file.
  * @param schema The zod schema of the file.
- * @param checkSemantics Rules the schema cannot say (references, duplicates).
- * @returns The typed value.
- * @throws {FindingsError} With every finding, when there is at least one.
+ * @param checkSemantics Checks what the schema can't express, such as references and duplicates.
+ * @returns The validated value.
+ * @throws {FindingsError} With all findings of the failed stage.
  */
 export function checkSource<S extends z.ZodTypeAny>(
     source: YamlSource,
@@ -52,12 +52,12 @@
 }
 
 /**
- * Reports every id that appears more than once in a list.
+ * Reports every item whose id has appeared earlier in the list.
  *
- * @param items The list.
- * @param getKey Gives an item's id.
- * @param basePath The list's path in the data.
- * @param report Where findings go.
+ * @param items The items to check.
+ * @param getKey Returns the id of an item.
+ * @param basePath The path of the list in the data.
+ * @param report Called with each duplicate.
  */
 export function checkUnique<T>(
     items: readonly T[],
--- a/settings/deployment_file.ts
+++ b/settings/deployment_file.ts
@@ -1,6 +1,6 @@
 /**
  * The deployment file: the entry instances of a cell with their zones, addresses and disks, and
- * optionally which groups own which zones and where callers are at home.
+ * optionally the groups that own zones and the home zones of callers.
  *
  * @example
  * ```ts
@@ -22,7 +22,7 @@
     .regex(/^[a-z0-9][a-z0-9_.-]*$/, "use lower-case letters, digits, . _ -");
 const addressSchema = z.string().regex(/^[^\s:]+:\d+$/, "use host:port");
 
-/** The schema of a deployment file. */
+/** Schema of the deployment file. */
 export const deploymentSchema = z
     .object({
         members: z
@@ -57,12 +57,12 @@
     .strict();
 
 /**
- * Parses and checks a deployment file; every bad line is reported, and nothing is loaded then.
+ * Parses and validates a deployment file.
  *
- * @param file The file's path, used in findings.
+ * @param file The path of the file, used in findings.
  * @param text The YAML text.
  * @returns The deployment.
- * @throws {FindingsError} With every finding.
+ * @throws {FindingsError} With all findings of the first stage that fails; see `checkSource`.
  */
 export function loadDeploymentText(file: string, text: string): Deployment {
     const value = checkSource(parseYamlSource(file, text), deploymentSchema, checkDeployment);
--- a/settings/findings.ts
+++ b/settings/findings.ts
@@ -1,5 +1,5 @@
 /**
- * Findings: problems found in an input, each with its place, collected and reported together.
+ * Validation findings with their positions in the input, collected and reported together.
  *
  * @example
  * ```ts
@@ -12,27 +12,27 @@
  * @module
  */
 
-/** One problem in one place of a file. */
+/** A problem at one position of an input file. */
 export interface Finding {
-    /** Path of the file, as given by the caller. */
+    /** Path of the file, as the caller gave it. */
     readonly file: string;
-    /** Line, counted from 1; 0 where the place is the whole file. */
+    /** Line, counted from 1; 0 when the finding concerns the whole file. */
     readonly line: number;
-    /** Column, counted from 1; 0 where unknown. */
+    /** Column, counted from 1; 0 when unknown. */
     readonly column: number;
-    /** Where inside the data, such as `instances[3].cores`. */
+    /** Path in the data, such as `instances[3].cores`. */
     readonly path: string;
-    /** What is wrong, in a sentence. */
+    /** Description of the problem. */
     readonly message: string;
 }
 
-/** Thrown when an input has one or more findings; nothing from the input was taken. */
+/** Thrown when an input has findings; no part of the input is applied. */
 export class FindingsError extends Error {
-    /** Every finding, in file order. */
+    /** All findings, in the order of their detection. */
     readonly findings: readonly Finding[];
 
     /**
-     * @param findings The findings, at least one.
+     * @param findings One or more findings.
      */
     constructor(findings: readonly Finding[]) {
         super(formatFindings(findings));
@@ -42,10 +42,10 @@
 }
 
 /**
- * Formats findings as `file:line:column: path: message`, one a line, sorted by place.
+ * Formats findings as lines of `file:line:column: path: message`, sorted by position.
  *
- * @param findings The findings.
- * @returns The text, one finding a line.
+ * @param findings The findings to format.
+ * @returns The text, with one finding per line.
  */
 export function formatFindings(findings: readonly Finding[]): string {
     return [...findings]
--- a/settings/inventory_file.ts
+++ b/settings/inventory_file.ts
@@ -1,5 +1,5 @@
 /**
- * The inventory file: what operators export from their asset register.
+ * The inventory file, which operators export from their asset register.
  *
  * @example
  * ```ts
@@ -37,7 +37,7 @@
     })
     .strict();
 
-/** The schema of an inventory file. */
+/** Schema of the inventory file. */
 export const inventorySchema = z
     .object({
         cell: nameSchema,
@@ -69,16 +69,16 @@
     })
     .strict();
 
-/** The inventory file as written. */
+/** Contents of an inventory file that match the schema. */
 export type InventoryFile = z.infer<typeof inventorySchema>;
 
 /**
- * Parses and checks an inventory file; every bad line is reported, and nothing is loaded then.
+ * Parses and validates an inventory file.
  *
- * @param file The file's path, used in findings.
+ * @param file The path of the file, used in findings.
  * @param text The YAML text.
  * @returns The inventory.
- * @throws {FindingsError} With every finding.
+ * @throws {FindingsError} With all findings of the first stage that fails; see `checkSource`.
  */
 export function loadInventoryText(file: string, text: string): Inventory {
     const value = checkSource(parseYamlSource(file, text), inventorySchema, checkReferences);
--- a/settings/parse_yaml.ts
+++ b/settings/parse_yaml.ts
@@ -1,5 +1,5 @@
 /**
- * Parses YAML, at the price of JSON where the text is JSON.
+ * Parses YAML, with a fast path for text that is JSON.
  *
  * @example
  * ```ts
@@ -14,19 +14,19 @@
 import { parse } from "yaml";
 
 /**
- * Parses a document. JSON is YAML too, and a daemon that starts reads a settings file and its state
- * charts before it serves: as JSON they take it far less time.
+ * Parses a YAML document. Text that starts with a brace goes to the faster JSON parser first, which
+ * shortens the start of a daemon.
  *
- * @param text YAML, or JSON.
- * @returns What it says.
- * @throws {Error} When it is neither.
+ * @param text YAML or JSON text.
+ * @returns The parsed value.
+ * @throws {Error} When the text is neither valid YAML nor JSON.
  */
 export function parseYaml(text: string): unknown {
     if (text.trimStart().startsWith("{")) {
         try {
             return JSON.parse(text);
         } catch {
-            // A YAML mapping may be written in braces without being JSON; the parser below tells.
+            // Not JSON, but possibly a YAML flow mapping.
         }
     }
     return parse(text);
--- a/settings/settings_test.ts
+++ b/settings/settings_test.ts
@@ -21,8 +21,7 @@
 }
 
 test("an inventory with several bad lines reports every one with its line, and loads nothing", (t) => {
-    // The operator sees one finding per bad line, all at once: a negative core count (line 9).
-    // Schema findings come first; references are checked once the shapes are right.
+    // References are checked only after the schema has passed.
     const error = t.throws(() => loadInventoryText("inv.yaml", buildInvalidInventory()), {
         instanceOf: FindingsError,
     });
--- a/settings/yaml_source.ts
+++ b/settings/yaml_source.ts
@@ -1,5 +1,5 @@
 /**
- * YAML text parsed with the place of every node, so that findings can name a line.
+ * YAML text parsed with source positions, so that findings can name a line and a column.
  *
  * @example
  * ```ts
@@ -14,19 +14,19 @@
 import { isNode, LineCounter, parseDocument, type Document } from "yaml";
 import type { Finding } from "./findings.ts";
 
-/** A parsed YAML file that knows where each of its values stands. */
+/** A parsed YAML file with the source position of each node. */
 export class YamlSource {
-    /** The file's path, as given. */
+    /** Path of the file, as given. */
     readonly file: string;
-    /** The plain data, or `undefined` when the text did not parse. */
+    /** The parsed value, or `undefined` after a syntax error. */
     readonly data: unknown;
-    /** Syntax findings; when any exist, `data` is not to be used. */
+    /** Syntax errors; `data` is valid only when there are none. */
     readonly syntaxFindings: readonly Finding[];
     readonly #document: Document;
     readonly #lineCounter: LineCounter;
 
     /**
-     * @param file The file's path, used in findings.
+     * @param file The path of the file, used in findings.
      * @param text The YAML text.
      */
     constructor(file: string, text: string) {
@@ -50,11 +50,11 @@
     }
 
     /**
-     * Creates a finding at the node of `path`, or at the nearest parent that exists.
+     * Creates a finding at the node at `path`, or at its nearest existing ancestor.
      *
      * @param path Keys and indexes from the root, as zod reports them.
-     * @param message What is wrong.
-     * @returns The finding with file, line and column.
+     * @param message Description of the problem.
+     * @returns The finding, with its file, line and column.
      */
     createFinding(path: readonly (string | number)[], message: string): Finding {
         let line = 0;
@@ -73,9 +73,9 @@
 }
 
 /**
- * Parses YAML text, keeping places.
+ * Parses YAML text and keeps the source positions.
  *
- * @param file The file's path, used in findings.
+ * @param file The path of the file, used in findings.
  * @param text The YAML text.
  * @returns The source; check `syntaxFindings` before using `data`.
  */
