--- a/configuration/configuration_test.ts
+++ b/configuration/configuration_test.ts
@@ -8,7 +8,7 @@
     return { ...buildConfiguration(1), queues };
 }
 
-test("the longest prefix of the host's queues wins", (t) => {
+test("a call matches the queue of its host with the longest path prefix", (t) => {
     const narrow = buildQueue({ name: "narrow" as QueueName, pathPrefix: "/previews/x/" });
     const configuration = buildConfigurationWith(buildQueue(), narrow);
     const match = findQueue(configuration, "studio.example", "/previews/x/1");
@@ -18,7 +18,7 @@
     t.is(findQueue(configuration, "other.example", "/previews/1"), undefined);
 });
 
-test("a configuration that can not come into force is refused with every reason", (t) => {
+test("every problem of an invalid configuration is reported", (t) => {
     t.deepEqual(checkConfiguration(buildConfigurationWith(buildQueue())), []);
     const bad = buildQueue({
         name: "bad" as QueueName,
--- a/rpc/timeout_test.ts
+++ b/rpc/timeout_test.ts
@@ -23,7 +23,7 @@
     }
 }
 
-test("an answer that arrived while the loop was busy is not given up", async (t) => {
+test("a response that arrived while the event loop was blocked does not time out", async (t) => {
     // Timers run before I/O, so a plain timer would expire with the response already in the socket.
     const port = await startServer(t);
     const outcome = await new Promise<string>((resolve) => {
@@ -37,7 +37,7 @@
     t.is(outcome, "answered");
 });
 
-test("silence is given up in time, and a cancelled timeout does nothing", async (t) => {
+test("a timeout fires in time, and a cancelled timeout does not fire", async (t) => {
     const fired: string[] = [];
     const startedAt = performance.now();
     await new Promise<void>((resolve) => {
--- a/settings/deployment_file.ts
+++ b/settings/deployment_file.ts
@@ -19,8 +19,11 @@
 
 const nameSchema = z
     .string()
-    .regex(/^[a-z0-9][a-z0-9_.-]*$/, "use lower-case letters, digits, . _ -");
-const addressSchema = z.string().regex(/^[^\s:]+:\d+$/, "use host:port");
+    .regex(
+        /^[a-z0-9][a-z0-9_.-]*$/,
+        "must start with a lower-case letter or digit and contain only those and '.', '_' or '-'",
+    );
+const addressSchema = z.string().regex(/^[^\s:]+:\d+$/, "must have the form host:port");
 
 /** Schema of the deployment file. */
 export const deploymentSchema = z
@@ -85,7 +88,7 @@
     checkUnique(value.groups, (group) => group.id, ["groups"], report);
     checkUnique(value.callers, (c) => c.caller, ["callers"], report);
     if (!value.members.some((m) => m.disk)) {
-        report(["members"], "no member has a disk; accepted work could not survive a restart");
+        report(["members"], "no member has a disk; accepted requests would be lost on a restart");
     }
     if (value.electionMs < 3 * value.heartbeatMs) {
         report(["electionMs"], `must be at least 3 times heartbeatMs (${value.heartbeatMs})`);
@@ -98,7 +101,7 @@
             if (owner !== undefined) {
                 report(
                     ["groups", groupIndex, "zones", zoneIndex],
-                    `zone "${zone}" is already owned by "${owner}"`,
+                    `zone "${zone}" is already owned by group "${owner}"`,
                 );
             }
             zoneOwners.set(zone, group.id);
@@ -110,7 +113,7 @@
             } else if (!member.disk) {
                 report(
                     ["groups", groupIndex, "voters", voterIndex],
-                    `"${voter}" has no disk; it would forget its votes in a restart`,
+                    `voter "${voter}" has no disk; its votes would be lost on a restart`,
                 );
             }
         });
--- a/settings/inventory_file.ts
+++ b/settings/inventory_file.ts
@@ -26,7 +26,10 @@
 
 const nameSchema = z
     .string()
-    .regex(/^[a-z0-9][a-z0-9_.-]*$/, "use lower-case letters, digits, . _ -");
+    .regex(
+        /^[a-z0-9][a-z0-9_.-]*$/,
+        "must start with a lower-case letter or digit and contain only those and '.', '_' or '-'",
+    );
 
 const instanceSchema = z
     .object({
@@ -134,7 +137,7 @@
         if (pairs.has(pair)) {
             report(
                 ["executors", executorIndex],
-                `a second executor of ${executor.service} on ${executor.instance}`,
+                `duplicate executor of service "${executor.service}" on instance "${executor.instance}"`,
             );
         }
         pairs.add(pair);
--- a/settings/settings_test.ts
+++ b/settings/settings_test.ts
@@ -20,7 +20,7 @@
     ].join("\n");
 }
 
-test("an inventory with several bad lines reports every one with its line, and loads nothing", (t) => {
+test("an invalid inventory is rejected with the line of every finding", (t) => {
     // References are checked only after the schema has passed.
     const error = t.throws(() => loadInventoryText("inv.yaml", buildInvalidInventory()), {
         instanceOf: FindingsError,
@@ -43,7 +43,7 @@
     );
 });
 
-test("a rules file with a kind of an unknown class and a syntax error is refused with places", (t) => {
+test("an unknown class or a syntax error in a rules file is reported as a finding", (t) => {
     const bad =
         "version: 1\nclasses:\n  - { name: live, precedence: 100 }\nkinds:\n  - { name: reel, class: nope, placement: packing, idempotent: false }\n";
     const error = t.throws(() => loadRulesText("rules.yaml", bad), { instanceOf: FindingsError });
