--- a/cell/_books.ts
+++ b/cell/_cell_state.ts
@@ -4,7 +4,7 @@
  *
  * @example
  * ```ts
- * import { Books } from "./_books.ts";
+ * import { Books } from "./_cell_state.ts";
  * const books = new Books(options);
  * books.recordFate(request, at, "accepted", "preview x1");
  * ```
@@ -53,7 +53,7 @@
     /** Leases an idempotent request may be offered before it fails. */
     readonly maxAttempts?: number;
     /** Failed tasks in a row after which a worker gets no work for a while. */
-    readonly quarantineAfter?: number;
+    readonly quarantineAfterFailures?: number;
     /** How long a quarantine lasts, in ms. */
     readonly quarantineMs?: number;
     /** The most placements one tick decides. */
@@ -64,7 +64,7 @@
      * The instances of the other zones' groups, one list per group: what fits there is not
      * refused here, because it can be handed over.
      */
-    readonly elsewhere?: readonly (readonly WorkerState[])[];
+    readonly otherZoneWorkers?: readonly (readonly WorkerState[])[];
     /** How long an ended request keeps its whole time line, in ms. */
     readonly retentionMs?: number;
     /** How long its idempotency key and end state are kept after that, in ms. */
@@ -73,23 +73,23 @@
 
 const DAY_MS = 86_400_000;
 
-const DEFAULTS = {
+const DEFAULT_OPTIONS = {
     idPrefix: "",
     quotaShare: 1,
     leaseTtlMs: 3_000,
     leaseGraceMs: 1_500,
     maxAttempts: 3,
-    quarantineAfter: 3,
+    quarantineAfterFailures: 3,
     quarantineMs: 30_000,
     maxPlacementsPerTick: 5_000,
     attemptResetMs: 60_000,
-    elsewhere: [] as readonly (readonly WorkerState[])[],
+    otherZoneWorkers: [] as readonly (readonly WorkerState[])[],
     retentionMs: DAY_MS,
     keyRetentionMs: 30 * DAY_MS,
 };
 
 /** Options with every default filled in. */
-export type ResolvedOptions = typeof DEFAULTS;
+export type ResolvedOptions = typeof DEFAULT_OPTIONS;
 
 /** Counters that the entry process turns into metrics. */
 export interface CellCounters {
@@ -107,20 +107,20 @@
 }
 
 /** The cell's records. */
-export class Books {
+export class CellState {
     readonly options: ResolvedOptions;
     readonly inventory: Inventory;
-    readonly rulesBook: RulesBook;
+    readonly rulesStore: RulesBook;
     /** Kinds that a change dropped while requests of them had not ended. */
     readonly retiredKinds = new Map<string, KindPolicy>();
     readonly workers = new Map<InstanceId, WorkerState>();
     readonly workerList: WorkerState[] = [];
     readonly requests = new Map<RequestId, RequestRecord>();
-    readonly byKey = new Map<string, RequestId>();
+    readonly requestIdsByKey = new Map<string, RequestId>();
     /** What is kept of requests whose time line was dropped. */
     readonly tombstones = new Map<RequestId, Tombstone>();
     /** Ended requests, oldest end first. */
-    readonly ended: RequestId[] = [];
+    readonly endedRequestIds: RequestId[] = [];
     readonly leases = new Map<LeaseId, LeaseRecord>();
     /** Leases that hold resources; the tick looks at these only, not at the whole history. */
     readonly liveLeases = new Set<LeaseId>();
@@ -136,20 +136,20 @@
     nextSeq = 1;
     nextEpoch = 1;
     /** Requests in the care of another zone's group. */
-    readonly handed = new Set<RequestId>();
+    readonly handedOverIds = new Set<RequestId>();
     /** The time of the newest input; the next leader's clock starts from it. */
-    lastAt = 0;
+    lastInputAt = 0;
     /** Something changed that may let a queued request be placed. */
-    isDirty = false;
+    isPlacementDue = false;
     #effects: Effect[] = [];
 
     /**
      * @param options The inventory, the rules and timings; see {@link CellOptions}.
      */
     constructor(options: CellOptions) {
-        this.options = { ...DEFAULTS, ...removeUndefined(options) };
+        this.options = { ...DEFAULT_OPTIONS, ...removeUndefined(options) };
         this.inventory = options.inventory;
-        this.rulesBook = new RulesBook(options.rules);
+        this.rulesStore = new RulesBook(options.rules);
         for (const instance of options.inventory.instances) {
             const worker = createWorkerState(instance, options.inventory.executors);
             this.workers.set(instance.id, worker);
@@ -159,7 +159,7 @@
 
     /** The rules in force. */
     get rules(): Rules {
-        return this.rulesBook.rules;
+        return this.rulesStore.rules;
     }
 
     /**
@@ -167,7 +167,7 @@
      *
      * @param effect The effect.
      */
-    emit(effect: Effect): void {
+    emitEffect(effect: Effect): void {
         this.#effects.push(effect);
     }
 
@@ -188,7 +188,7 @@
      * @param kind The kind.
      * @returns The policy, or `undefined`.
      */
-    findPolicy(kind: string): KindPolicy | undefined {
+    findKindPolicy(kind: string): KindPolicy | undefined {
         const rule = getKindRule(this.rules, kind);
         return rule === undefined
             ? this.retiredKinds.get(kind)
@@ -202,8 +202,8 @@
      * @returns The policy.
      * @throws {Error} When the kind was lost (retired kinds prevent it).
      */
-    getPolicy(request: RequestRecord): KindPolicy {
-        const policy = this.findPolicy(request.spec.kind);
+    getKindPolicy(request: RequestRecord): KindPolicy {
+        const policy = this.findKindPolicy(request.spec.kind);
         if (policy === undefined) {
             throw new Error(`request ${request.id}: kind ${request.spec.kind} lost its rule`);
         }
@@ -217,7 +217,7 @@
      * @returns True for an idempotent request with attempts left.
      */
     isRetryable(request: RequestRecord): boolean {
-        const rule = this.findPolicy(request.spec.kind)?.rule;
+        const rule = this.findKindPolicy(request.spec.kind)?.rule;
         return (
             rule !== undefined &&
             rule.idempotent &&
@@ -244,7 +244,7 @@
      * @param lease The lease.
      * @param held What it holds from now on.
      */
-    setHeld(worker: WorkerState, lease: LeaseRecord, held: Resources): void {
+    setHeldResources(worker: WorkerState, lease: LeaseRecord, held: Resources): void {
         worker.held = addResources(removeResources(worker.held, lease.held), held);
         lease.held = held;
     }
@@ -265,9 +265,9 @@
      * @param request The request.
      */
     addToQueue(request: RequestRecord): void {
-        request.queuedAt = this.lastAt;
-        this.queue.add(request, this.getPolicy(request).kindClass.precedence);
-        this.isDirty = true;
+        request.queuedAt = this.lastInputAt;
+        this.queue.add(request, this.getKindPolicy(request).kindClass.precedence);
+        this.isPlacementDue = true;
     }
 
     /**
@@ -276,7 +276,7 @@
      * @param request The request.
      */
     recordEnd(request: RequestRecord): void {
-        this.ended.push(request.id);
+        this.endedRequestIds.push(request.id);
     }
 
     /**
@@ -284,30 +284,30 @@
      * it a day of 14,000 jobs would add 38 MB for ever. The end state and the idempotency key
      * stay for a month: a resend must not run a billed batch again.
      *
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      */
-    removeOld(at: number): void {
+    removeExpiredRequests(nowMs: number): void {
         const { retentionMs, keyRetentionMs } = this.options;
         let dropped = 0;
-        for (const id of this.ended) {
+        for (const id of this.endedRequestIds) {
             const request = this.requests.get(id);
-            if (request === undefined || at - (request.endedAt ?? at) < retentionMs) {
+            if (request === undefined || nowMs - (request.endedAt ?? nowMs) < retentionMs) {
                 break;
             }
             dropped += 1;
             this.requests.delete(id);
             this.tombstones.set(id, createTombstone(request));
         }
-        this.ended.splice(0, dropped);
+        this.endedRequestIds.splice(0, dropped);
         if (dropped > 0) {
             this.#removeEndedLeases();
         }
-        for (const [id, stone] of this.tombstones) {
-            if (at - stone.endedAt < retentionMs + keyRetentionMs) {
+        for (const [id, tombstone] of this.tombstones) {
+            if (nowMs - tombstone.endedAt < retentionMs + keyRetentionMs) {
                 break;
             }
             this.tombstones.delete(id);
-            this.byKey.delete(createKey(stone.caller, stone.key));
+            this.requestIdsByKey.delete(createCallerKey(tombstone.caller, tombstone.key));
         }
     }
 
@@ -323,14 +323,14 @@
      * Adds a line to a request's time line.
      *
      * @param request The request.
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      * @param event What happened.
      * @param detail In words.
      */
-    recordFate(request: RequestRecord, at: number, event: string, detail: string): void {
-        const entry = { at, event, detail };
+    recordEvent(request: RequestRecord, nowMs: number, event: string, detail: string): void {
+        const entry = { at: nowMs, event, detail };
         request.events.push(entry);
-        this.emit({ type: "fate", request: request.id, event: entry });
+        this.emitEffect({ type: "fate", request: request.id, event: entry });
     }
 
     /**
@@ -386,7 +386,7 @@
  * @param key Its key.
  * @returns Both, joined so that no two pairs give the same text.
  */
-export function createKey(caller: string, key: string): string {
+export function createCallerKey(caller: string, key: string): string {
     return `${caller}\u0000${key}`;
 }
 
--- a/cell/_fixtures.ts
+++ b/cell/_fixtures.ts
@@ -36,7 +36,7 @@
     readonly memoryMb?: number;
     readonly slots?: number;
     readonly zones?: number;
-    readonly perRack?: number;
+    readonly workersPerRack?: number;
 }
 
 /**
@@ -52,16 +52,16 @@
         memoryMb = 32_768,
         slots = 8,
         zones = 3,
-        perRack = 8,
+        workersPerRack = 8,
     } = options;
     const zoneIds = Array.from({ length: zones }, (_, i) => createId<ZoneId>(`zone-${i + 1}`));
     const instances = Array.from({ length: workers }, (_, i) => {
         const zone = zoneIds[i % zones] as ZoneId;
-        const inZone = Math.floor(i / zones);
+        const indexInZone = Math.floor(i / zones);
         return {
             id: createId<InstanceId>(`w${i + 1}`),
             zone,
-            rack: createId<RackId>(`${zone}-r${Math.floor(inZone / perRack) + 1}`),
+            rack: createId<RackId>(`${zone}-r${Math.floor(indexInZone / workersPerRack) + 1}`),
             capacity: { cores, memoryMb, accelerators: 0 },
         };
     });
--- a/cell/_invariants.ts
+++ b/cell/_invariants.ts
@@ -14,7 +14,7 @@
 import { addResources, isFitting, NO_RESOURCES, type LeaseId } from "../inventory/mod.ts";
 import type { Cell } from "./cell.ts";
 
-const LIVE = new Set(["offered", "active"]);
+const LIVE_STATES = new Set(["offered", "active"]);
 
 /**
  * Lists every invariant the cell breaks now.
@@ -23,19 +23,19 @@
  * @param started Leases that a worker really started (the workers' side of the books).
  * @returns One line per violation; empty when all hold.
  */
-export function listViolations(cell: Cell, started: ReadonlySet<LeaseId>): string[] {
+export function listInvariantViolations(cell: Cell, started: ReadonlySet<LeaseId>): string[] {
     const violations: string[] = [];
     const leases = cell.listLeases();
     for (const worker of cell.listWorkers()) {
         const held = leases
-            .filter((l) => l.worker === worker.instance.id && LIVE.has(l.state))
+            .filter((l) => l.worker === worker.instance.id && LIVE_STATES.has(l.state))
             .reduce((sum, l) => addResources(sum, l.declared), NO_RESOURCES);
         if (!isFitting(held, worker.instance.capacity)) {
             violations.push(`overcommit on ${worker.instance.id}: ${JSON.stringify(held)}`);
         }
     }
     const liveByTask = new Map<string, number>();
-    for (const lease of leases.filter((l) => LIVE.has(l.state))) {
+    for (const lease of leases.filter((l) => LIVE_STATES.has(l.state))) {
         liveByTask.set(lease.task, (liveByTask.get(lease.task) ?? 0) + 1);
     }
     for (const [task, count] of liveByTask) {
@@ -43,20 +43,20 @@
             violations.push(`task ${task} has ${count} live leases`);
         }
     }
-    for (const id of cell.listRequests()) {
-        const answer = cell.describeRequest(id);
-        if (answer === undefined) {
+    for (const id of cell.listRequestIds()) {
+        const status = cell.describeRequest(id);
+        if (status === undefined) {
             continue;
         }
-        const own = leases.filter((l) => l.request === id);
-        const ranSomewhere = own.filter((l) => started.has(l.id));
-        const rule = cell.rules.kinds.get(answer.kind);
+        const requestLeases = leases.filter((l) => l.request === id);
+        const startedLeases = requestLeases.filter((l) => started.has(l.id));
+        const rule = cell.rules.kinds.get(status.kind);
         if (rule !== undefined && !rule.idempotent) {
-            const perTask = new Map<string, number>();
-            for (const lease of ranSomewhere) {
-                perTask.set(lease.task, (perTask.get(lease.task) ?? 0) + 1);
+            const startsByTask = new Map<string, number>();
+            for (const lease of startedLeases) {
+                startsByTask.set(lease.task, (startsByTask.get(lease.task) ?? 0) + 1);
             }
-            for (const [task, count] of perTask) {
+            for (const [task, count] of startsByTask) {
                 if (count > 1) {
                     violations.push(
                         `at-most-once request ${id}: task ${task} started ${count} times`,
@@ -64,13 +64,13 @@
                 }
             }
         }
-        if (!answer.mayHaveRun && ranSomewhere.length > 0) {
+        if (!status.mayHaveRun && startedLeases.length > 0) {
             violations.push(
-                `request ${id} says it did not run, but ${ranSomewhere.length} lease(s) started`,
+                `request ${id} says it did not run, but ${startedLeases.length} lease(s) started`,
             );
         }
-        if (answer.final && own.some((l) => LIVE.has(l.state))) {
-            violations.push(`request ${id} is final (${answer.state}) with a live lease`);
+        if (status.final && requestLeases.some((l) => LIVE_STATES.has(l.state))) {
+            violations.push(`request ${id} is final (${status.state}) with a live lease`);
         }
     }
     return violations;
--- a/cell/_lease_keeper.ts
+++ b/cell/_lease_manager.ts
@@ -4,7 +4,7 @@
  *
  * @example
  * ```ts
- * import { LeaseKeeper } from "./_lease_keeper.ts";
+ * import { LeaseKeeper } from "./_lease_manager.ts";
  * const keeper = new LeaseKeeper(books, lifecycle);
  * keeper.handleHeartbeat(instance, held, at);
  * keeper.expireLeases(at);
@@ -22,21 +22,21 @@
     type LeaseId,
 } from "../inventory/mod.ts";
 import type { WorkerState } from "../scheduler/mod.ts";
-import type { Books } from "./_books.ts";
+import type { CellState } from "./_cell_state.ts";
 import { leaseChart, NO_GUARDS, type Lifecycle } from "./_lifecycle.ts";
 import type { HeldLease, LeaseRecord, RequestRecord, TaskReport } from "./types.ts";
 
 /** The leases of one cell. */
-export class LeaseKeeper {
-    readonly #books: Books;
+export class LeaseManager {
+    readonly #state: CellState;
     readonly #lifecycle: Lifecycle;
 
     /**
-     * @param books The cell's records.
+     * @param state The cell's records.
      * @param lifecycle What the end of a lease means for its request.
      */
-    constructor(books: Books, lifecycle: Lifecycle) {
-        this.#books = books;
+    constructor(state: CellState, lifecycle: Lifecycle) {
+        this.#state = state;
         this.#lifecycle = lifecycle;
     }
 
@@ -46,32 +46,36 @@
      *
      * @param instance The worker's instance.
      * @param held The leases the worker holds, with their use.
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      */
-    handleHeartbeat(instance: InstanceId, held: readonly HeldLease[], at: number): void {
-        const worker = this.#books.workers.get(instance);
+    handleHeartbeat(instance: InstanceId, held: readonly HeldLease[], nowMs: number): void {
+        const worker = this.#state.workers.get(instance);
         if (worker === undefined) {
             return;
         }
-        this.#renewWorker(worker, at);
-        for (const item of held) {
-            const lease = this.#findLiveLease(item.lease, item.epoch);
+        this.#renewWorker(worker, nowMs);
+        for (const heldLease of held) {
+            const lease = this.#findLiveLease(heldLease.lease, heldLease.epoch);
             if (lease === undefined) {
-                this.#books.emit({
+                this.#state.emitEffect({
                     type: "stop",
                     address: worker.address ?? "",
                     instance,
                     incarnation: worker.incarnation,
-                    lease: item.lease,
-                    epoch: item.epoch,
+                    lease: heldLease.lease,
+                    epoch: heldLease.epoch,
                     mode: "stop",
                 });
                 continue;
             }
-            this.#renewLease(lease, at);
-            if (item.usage !== undefined) {
-                lease.reported = item.usage;
-                this.#books.setHeld(worker, lease, getMaxResources(lease.declared, item.usage));
+            this.#renewLease(lease, nowMs);
+            if (heldLease.usage !== undefined) {
+                lease.reported = heldLease.usage;
+                this.#state.setHeldResources(
+                    worker,
+                    lease,
+                    getMaxResources(lease.declared, heldLease.usage),
+                );
             }
         }
     }
@@ -85,17 +89,17 @@
      * @returns True when `renew` is enough.
      */
     isRenewal(instance: InstanceId, held: readonly HeldLease[]): boolean {
-        const worker = this.#books.workers.get(instance);
+        const worker = this.#state.workers.get(instance);
         return (
             worker !== undefined &&
             worker.leases.size === held.length &&
-            held.every((item) => {
-                const lease = this.#findLiveLease(item.lease, item.epoch);
+            held.every((heldLease) => {
+                const lease = this.#findLiveLease(heldLease.lease, heldLease.epoch);
                 return (
                     lease?.worker === instance &&
                     !lease.stopSent &&
                     isFitting(lease.held, lease.declared) &&
-                    isFitting(item.usage ?? NO_RESOURCES, lease.declared)
+                    isFitting(heldLease.usage ?? NO_RESOURCES, lease.declared)
                 );
             })
         );
@@ -108,29 +112,29 @@
      * @param held The leases the worker holds.
      * @returns The leases to stop.
      */
-    listToStop(held: readonly HeldLease[]): LeaseId[] {
+    listLeasesToStop(held: readonly HeldLease[]): LeaseId[] {
         return held
             .filter((item) => this.#findLiveLease(item.lease, item.epoch)?.stopSent !== false)
-            .map((item) => item.lease);
+            .map((heldLease) => heldLease.lease);
     }
 
     /**
      * Renews workers and every live lease on them.
      *
      * @param instances The workers' instances.
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      */
-    renewWorkers(instances: readonly InstanceId[], at: number): void {
+    renewWorkers(instances: readonly InstanceId[], nowMs: number): void {
         for (const instance of instances) {
-            const worker = this.#books.workers.get(instance);
+            const worker = this.#state.workers.get(instance);
             if (worker === undefined) {
                 continue;
             }
-            this.#renewWorker(worker, at);
+            this.#renewWorker(worker, nowMs);
             for (const id of worker.leases) {
-                const lease = this.#books.leases.get(id);
+                const lease = this.#state.leases.get(id);
                 if (lease !== undefined) {
-                    this.#renewLease(lease, at);
+                    this.#renewLease(lease, nowMs);
                 }
             }
         }
@@ -142,19 +146,19 @@
      * @param id The lease.
      * @param accepted Whether the worker took it.
      * @param reason The worker's reason when it did not.
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      */
-    handleGrantReply(id: LeaseId, accepted: boolean, reason: string, at: number): void {
-        const lease = this.#books.leases.get(id);
+    handleGrantReply(id: LeaseId, accepted: boolean, reason: string, nowMs: number): void {
+        const lease = this.#state.leases.get(id);
         if (lease === undefined || lease.state !== leaseChart.initial) {
             return;
         }
         if (accepted) {
             lease.state = getNextState(leaseChart, lease.state, "accept", NO_GUARDS);
-            lease.renewedAt = at;
+            lease.renewedAt = nowMs;
             return;
         }
-        this.#closeDeclined(lease, reason, at);
+        this.#closeDeclined(lease, reason, nowMs);
     }
 
     /**
@@ -164,18 +168,24 @@
      * @param epoch The lease's epoch as the worker holds it; a stale one is ignored.
      * @param report What happened.
      * @param detail The worker's words.
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      */
-    handleReport(id: LeaseId, epoch: number, report: TaskReport, detail: string, at: number): void {
+    handleReport(
+        id: LeaseId,
+        epoch: number,
+        report: TaskReport,
+        detail: string,
+        nowMs: number,
+    ): void {
         const lease = this.#findLiveLease(id, epoch);
-        const request = lease === undefined ? undefined : this.#books.getRequest(lease.request);
+        const request = lease === undefined ? undefined : this.#state.getRequest(lease.request);
         const task = request?.tasks.find((t) => t.id === lease?.task);
         if (lease === undefined || request === undefined || task === undefined) {
             return;
         }
         if (report === "declined") {
             if (lease.state === leaseChart.initial) {
-                this.#closeDeclined(lease, detail, at);
+                this.#closeDeclined(lease, detail, nowMs);
             }
             return;
         }
@@ -183,32 +193,32 @@
             if (lease.state === leaseChart.initial) {
                 lease.state = getNextState(leaseChart, lease.state, "accept", NO_GUARDS);
             }
-            lease.renewedAt = at;
+            lease.renewedAt = nowMs;
             task.state = "running";
-            this.#lifecycle.handleTaskStarted(request, at);
+            this.#lifecycle.handleTaskStarted(request, nowMs);
             return;
         }
-        this.#recordWorkerResult(this.#books.getWorker(lease.worker), request, report, at);
-        this.#lifecycle.closeLease(lease, "release", report, detail, at);
+        this.#recordWorkerResult(this.#state.getWorker(lease.worker), request, report, nowMs);
+        this.#lifecycle.closeLease(lease, "release", report, detail, nowMs);
     }
 
     /**
      * Tells whether a worker or a lease has been silent for too long.
      *
-     * @param at The time in ms.
-     * @returns True when {@link LeaseKeeper.expireLeases} would end something.
+     * @param nowMs The time in ms.
+     * @returns True when {@link LeaseManager.expireLeases} would end something.
      */
-    hasExpired(at: number): boolean {
-        const deadline = this.#getSilenceLimit();
+    hasExpired(nowMs: number): boolean {
+        const timeoutMs = this.#getTimeoutMs();
         return (
-            this.#books.workerList.some((w) => w.alive && at - w.lastHeartbeatAt > deadline) ||
-            this.#hasExpiredLease(at - deadline)
+            this.#state.workerList.some((w) => w.alive && nowMs - w.lastHeartbeatAt > timeoutMs) ||
+            this.#hasExpiredLease(nowMs - timeoutMs)
         );
     }
 
-    #hasExpiredLease(renewedBefore: number): boolean {
-        for (const id of this.#books.liveLeases) {
-            if ((this.#books.leases.get(id)?.renewedAt ?? renewedBefore) < renewedBefore) {
+    #hasExpiredLease(renewedBeforeMs: number): boolean {
+        for (const id of this.#state.liveLeases) {
+            if ((this.#state.leases.get(id)?.renewedAt ?? renewedBeforeMs) < renewedBeforeMs) {
                 return true;
             }
         }
@@ -218,64 +228,64 @@
     /**
      * Ends workers and leases that have been silent for too long.
      *
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      */
-    expireLeases(at: number): void {
-        const deadline = this.#getSilenceLimit();
-        for (const worker of this.#books.workerList) {
-            if (worker.alive && at - worker.lastHeartbeatAt > deadline) {
+    expireLeases(nowMs: number): void {
+        const timeoutMs = this.#getTimeoutMs();
+        for (const worker of this.#state.workerList) {
+            if (worker.alive && nowMs - worker.lastHeartbeatAt > timeoutMs) {
                 worker.alive = false;
             }
         }
         // Over the ids themselves: building a list of thousands of leases on every tick took 7%
         // of the cell's time. Closing one takes it, and maybe others of its request, out.
-        for (const id of this.#books.liveLeases) {
-            const lease = this.#books.leases.get(id);
-            if (lease === undefined || at - lease.renewedAt <= deadline) {
+        for (const id of this.#state.liveLeases) {
+            const lease = this.#state.leases.get(id);
+            if (lease === undefined || nowMs - lease.renewedAt <= timeoutMs) {
                 continue;
             }
-            this.#books.counters.expiries += 1;
+            this.#state.counters.expiries += 1;
             this.#lifecycle.closeLease(
                 lease,
                 "expire",
                 "lost",
-                `no heartbeat from ${lease.worker} for ${at - lease.renewedAt} ms`,
-                at,
+                `no heartbeat from ${lease.worker} for ${nowMs - lease.renewedAt} ms`,
+                nowMs,
             );
         }
     }
 
-    #getSilenceLimit(): number {
-        return this.#books.options.leaseTtlMs + this.#books.options.leaseGraceMs;
+    #getTimeoutMs(): number {
+        return this.#state.options.leaseTtlMs + this.#state.options.leaseGraceMs;
     }
 
-    #renewWorker(worker: WorkerState, at: number): void {
+    #renewWorker(worker: WorkerState, nowMs: number): void {
         if (!worker.alive) {
             worker.alive = true;
-            this.#books.isDirty = true;
+            this.#state.isPlacementDue = true;
         }
-        worker.lastHeartbeatAt = at;
+        worker.lastHeartbeatAt = nowMs;
     }
 
-    #renewLease(lease: LeaseRecord, at: number): void {
+    #renewLease(lease: LeaseRecord, nowMs: number): void {
         lease.state = getNextState(leaseChart, lease.state, "renew", NO_GUARDS);
-        lease.renewedAt = at;
+        lease.renewedAt = nowMs;
     }
 
     #findLiveLease(id: LeaseId, epoch: number): LeaseRecord | undefined {
-        const lease = this.#books.leases.get(id);
+        const lease = this.#state.leases.get(id);
         const isLive = lease?.epoch === epoch && !leaseChart.finalStates.has(lease.state);
         return isLive ? lease : undefined;
     }
 
-    #closeDeclined(lease: LeaseRecord, reason: string, at: number): void {
-        this.#books.counters.declines += 1;
+    #closeDeclined(lease: LeaseRecord, reason: string, nowMs: number): void {
+        this.#state.counters.declines += 1;
         this.#lifecycle.closeLease(
             lease,
             "decline",
             "declined",
             `worker ${lease.worker} declined: ${reason}`,
-            at,
+            nowMs,
         );
     }
 
@@ -283,7 +293,7 @@
         worker: WorkerState,
         request: RequestRecord,
         report: TaskReport,
-        at: number,
+        nowMs: number,
     ): void {
         if (report === "completed") {
             worker.failuresInARow = 0;
@@ -292,11 +302,11 @@
             return;
         }
         worker.failuresInARow += 1;
-        if (worker.failuresInARow >= this.#books.options.quarantineAfter) {
-            worker.quarantinedUntil = at + this.#books.options.quarantineMs;
-            this.#books.recordFate(
+        if (worker.failuresInARow >= this.#state.options.quarantineAfterFailures) {
+            worker.quarantinedUntil = nowMs + this.#state.options.quarantineMs;
+            this.#state.recordEvent(
                 request,
-                at,
+                nowMs,
                 "quarantine",
                 `worker ${worker.instance.id} failed ${worker.failuresInARow} in a row`,
             );
--- a/cell/_lifecycle.ts
+++ b/cell/_lifecycle.ts
@@ -15,7 +15,7 @@
 import { getNextState, loadChart } from "../chart/mod.ts";
 import { createId, NO_RESOURCES, type LeaseId } from "../inventory/mod.ts";
 import type { WorkerState } from "../scheduler/mod.ts";
-import type { Books } from "./_books.ts";
+import type { CellState } from "./_cell_state.ts";
 import type { LeaseRecord, RequestRecord, TaskOutcome } from "./types.ts";
 
 /** The life of a request. */
@@ -30,86 +30,86 @@
 
 /** Moves requests and leases through their lives. */
 export class Lifecycle {
-    readonly #books: Books;
+    readonly #state: CellState;
 
     /**
-     * @param books The cell's books.
+     * @param state The cell's books.
      */
-    constructor(books: Books) {
-        this.#books = books;
+    constructor(state: CellState) {
+        this.#state = state;
     }
 
     /**
      * Leases every task of a request.
      *
      * @param request The request.
-     * @param chosen A worker per task.
-     * @param at The time in ms.
+     * @param workers A worker per task.
+     * @param nowMs The time in ms.
      */
-    grantAll(request: RequestRecord, chosen: readonly WorkerState[], at: number): void {
+    grantLeases(request: RequestRecord, workers: readonly WorkerState[], nowMs: number): void {
         request.trouble = undefined;
         request.troubleDetail = "";
         request.blockedBy = undefined;
         request.tasks.forEach((task, i) => {
-            const worker = chosen[i] as WorkerState;
-            const epoch = this.#books.nextEpoch++;
+            const worker = workers[i] as WorkerState;
+            const epoch = this.#state.nextEpoch++;
             const lease: LeaseRecord = {
-                id: createId<LeaseId>(`${this.#books.options.idPrefix}l${epoch}`),
+                id: createId<LeaseId>(`${this.#state.options.idPrefix}l${epoch}`),
                 task: task.id,
                 request: request.id,
                 worker: worker.instance.id,
                 incarnation: worker.incarnation,
                 epoch,
                 state: leaseChart.initial,
-                grantedAt: at,
-                renewedAt: at,
+                grantedAt: nowMs,
+                renewedAt: nowMs,
                 declared: request.spec.demand,
                 reported: undefined,
                 held: NO_RESOURCES,
                 stopSent: false,
             };
-            this.#books.leases.set(lease.id, lease);
-            this.#books.liveLeases.add(lease.id);
+            this.#state.leases.set(lease.id, lease);
+            this.#state.liveLeases.add(lease.id);
             worker.leases.add(lease.id);
             worker.slotsUsed.set(
                 request.spec.service,
                 (worker.slotsUsed.get(request.spec.service) ?? 0) + 1,
             );
-            this.#books.setHeld(worker, lease, request.spec.demand);
-            this.#books.addCustomerCores(request.spec.customer, request.spec.demand.cores);
+            this.#state.setHeldResources(worker, lease, request.spec.demand);
+            this.#state.addCustomerCores(request.spec.customer, request.spec.demand.cores);
             task.state = "offered";
             task.lease = lease.id;
             task.outcome = undefined;
-            this.#books.counters.placements += 1;
+            this.#state.counters.placements += 1;
             this.#emitGrant(request, lease);
         });
         request.attempts += 1;
         request.mayHaveStarted = true;
-        const where = [...new Set(chosen.map((w) => w.instance.id))].join(",");
-        this.applyRequestEvent(request, "grant", at, `leased on ${where}`);
+        const instanceIds = [...new Set(workers.map((w) => w.instance.id))].join(",");
+        this.applyRequestEvent(request, "grant", nowMs, `leased on ${instanceIds}`);
     }
 
     /**
      * Moves a request on once each of its tasks runs.
      *
      * @param request The request.
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      */
-    handleTaskStarted(request: RequestRecord, at: number): void {
+    handleTaskStarted(request: RequestRecord, nowMs: number): void {
         if (!request.tasks.every((t) => t.state === "running" || t.state === "ended")) {
             return;
         }
         if (request.state === "leased") {
             request.started = true;
-            request.startedAt ??= at;
-            request.attemptStartedAt = at;
-            this.applyRequestEvent(request, "start", at, "started");
-            const rule = this.#books.getPolicy(request).rule;
-            this.#books.emit({
+            request.startedAt ??= nowMs;
+            request.attemptStartedAt = nowMs;
+            this.applyRequestEvent(request, "start", nowMs, "started");
+            const rule = this.#state.getKindPolicy(request).rule;
+            this.#state.emitEffect({
                 type: "started",
                 request: request.id,
                 className: rule.className,
-                waitMs: at - request.acceptedAt,
+                waitMs: nowMs - request.acceptedAt,
             });
         } else if (request.state === "cancelling") {
             request.started = true;
@@ -126,20 +126,20 @@
         event: string,
         outcome: TaskOutcome,
         detail: string,
-        at: number,
+        nowMs: number,
     ): void {
         lease.state = getNextState(leaseChart, lease.state, event, NO_GUARDS);
-        const worker = this.#books.getWorker(lease.worker);
-        this.#books.setHeld(worker, lease, NO_RESOURCES);
+        const worker = this.#state.getWorker(lease.worker);
+        this.#state.setHeldResources(worker, lease, NO_RESOURCES);
         worker.leases.delete(lease.id);
-        this.#books.liveLeases.delete(lease.id);
-        this.#books.isDirty = true;
-        const request = this.#books.getRequest(lease.request);
+        this.#state.liveLeases.delete(lease.id);
+        this.#state.isPlacementDue = true;
+        const request = this.#state.getRequest(lease.request);
         worker.slotsUsed.set(
             request.spec.service,
             (worker.slotsUsed.get(request.spec.service) ?? 1) - 1,
         );
-        this.#books.addCustomerCores(request.spec.customer, -request.spec.demand.cores);
+        this.#state.addCustomerCores(request.spec.customer, -request.spec.demand.cores);
         const task = request.tasks.find((t) => t.id === lease.task);
         if (task !== undefined) {
             task.state = "ended";
@@ -150,14 +150,14 @@
             request.troubleDetail = detail;
         }
         if (outcome === "completed" || outcome === "stopped") {
-            this.#books.recordFate(
+            this.#state.recordEvent(
                 request,
-                at,
+                nowMs,
                 `task ${outcome}`,
                 `${lease.task} on ${lease.worker}`,
             );
         } else {
-            this.#books.recordFate(request, at, `task ${outcome}`, detail);
+            this.#state.recordEvent(request, nowMs, `task ${outcome}`, detail);
         }
         if (
             request.trouble !== undefined &&
@@ -168,7 +168,7 @@
             this.stopLeases(request, "stop");
         }
         if (request.tasks.every((t) => t.state === "ended")) {
-            this.#closeAttempt(request, at);
+            this.#closeAttempt(request, nowMs);
         }
     }
 
@@ -180,7 +180,7 @@
      */
     stopLeases(request: RequestRecord, mode: "stop" | "checkpoint"): void {
         for (const task of request.tasks) {
-            const lease = task.lease === undefined ? undefined : this.#books.leases.get(task.lease);
+            const lease = task.lease === undefined ? undefined : this.#state.leases.get(task.lease);
             if (lease === undefined || leaseChart.finalStates.has(lease.state) || lease.stopSent) {
                 continue;
             }
@@ -194,24 +194,24 @@
      * answered and every stop not yet confirmed. A worker answers a repeated offer as it
      * answered the first, so an offer whose fate is unknown is asked about, never guessed.
      */
-    emitUnanswered(): void {
-        for (const id of this.#books.liveLeases) {
-            const lease = this.#books.leases.get(id);
+    emitUnacknowledged(): void {
+        for (const id of this.#state.liveLeases) {
+            const lease = this.#state.leases.get(id);
             if (lease === undefined) {
                 continue;
             }
             if (lease.stopSent) {
                 this.#emitStop(lease, "stop");
             } else if (lease.state === leaseChart.initial) {
-                this.#emitGrant(this.#books.getRequest(lease.request), lease);
+                this.#emitGrant(this.#state.getRequest(lease.request), lease);
             }
         }
     }
 
     #emitGrant(request: RequestRecord, lease: LeaseRecord): void {
-        this.#books.emit({
+        this.#state.emitEffect({
             type: "grant",
-            address: this.#books.getWorker(lease.worker).address ?? "",
+            address: this.#state.getWorker(lease.worker).address ?? "",
             lease: {
                 lease: lease.id,
                 task: lease.task,
@@ -220,16 +220,16 @@
                 incarnation: lease.incarnation,
                 epoch: lease.epoch,
                 demand: request.spec.demand,
-                ttlMs: this.#books.options.leaseTtlMs,
+                ttlMs: this.#state.options.leaseTtlMs,
                 work: request.spec.work,
             },
         });
     }
 
     #emitStop(lease: LeaseRecord, mode: "stop" | "checkpoint"): void {
-        this.#books.emit({
+        this.#state.emitEffect({
             type: "stop",
-            address: this.#books.getWorker(lease.worker).address ?? "",
+            address: this.#state.getWorker(lease.worker).address ?? "",
             instance: lease.worker,
             incarnation: lease.incarnation,
             lease: lease.id,
@@ -243,29 +243,34 @@
      *
      * @param request The request.
      * @param event The chart's event.
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      * @param reason In words, for the time line and the answer.
      */
-    applyRequestEvent(request: RequestRecord, event: string, at: number, reason: string): void {
-        const guards = this.#books.isRetryable(request) ? RETRYABLE : AT_MOST_ONCE;
-        const before = request.state;
+    applyRequestEvent(request: RequestRecord, event: string, nowMs: number, reason: string): void {
+        const guards = this.#state.isRetryable(request) ? RETRYABLE : AT_MOST_ONCE;
+        const previousState = request.state;
         request.state = getNextState(requestChart, request.state, event, guards);
         if (event === "decline" && request.trouble === "declined" && request.state === "queued") {
             request.attempts = Math.max(0, request.attempts - 1);
         }
-        this.#books.recordFate(request, at, event, `${before} -> ${request.state}: ${reason}`);
+        this.#state.recordEvent(
+            request,
+            nowMs,
+            event,
+            `${previousState} -> ${request.state}: ${reason}`,
+        );
         if (requestChart.finalStates.has(request.state)) {
-            request.endedAt = at;
+            request.endedAt = nowMs;
             request.reason = reason;
-            this.#books.recordEnd(request);
+            this.#state.recordEnd(request);
             if (request.state === "refused") {
-                this.#books.counters.refusals += 1;
+                this.#state.counters.refusals += 1;
             }
-            this.#books.emit({ type: "final", request: request.id, state: request.state });
+            this.#state.emitEffect({ type: "final", request: request.id, state: request.state });
         }
     }
 
-    #closeAttempt(request: RequestRecord, at: number): void {
+    #closeAttempt(request: RequestRecord, nowMs: number): void {
         const allCompleted = request.tasks.every((t) => t.outcome === "completed");
         const allDeclined = request.tasks.every((t) => t.outcome === "declined");
         if (!allDeclined) {
@@ -273,8 +278,8 @@
         }
         request.mayHaveStarted = request.mayHaveRunBefore;
         // A service that ran well for long and lost its worker is not out of attempts.
-        const ranFor = at - (request.attemptStartedAt ?? at);
-        if (ranFor >= this.#books.options.attemptResetMs) {
+        const ranForMs = nowMs - (request.attemptStartedAt ?? nowMs);
+        if (ranForMs >= this.#state.options.attemptResetMs) {
             request.attempts = 0;
         }
         request.attemptStartedAt = undefined;
@@ -319,9 +324,9 @@
             task.state = "waiting";
             task.lease = undefined;
         }
-        this.applyRequestEvent(request, event, at, reason);
+        this.applyRequestEvent(request, event, nowMs, reason);
         if (request.state === "queued") {
-            this.#books.addToQueue(request);
+            this.#state.addToQueue(request);
         }
     }
 }
--- a/cell/_placer.ts
+++ b/cell/_placer.ts
@@ -20,64 +20,64 @@
     type Victim,
     type WorkerState,
 } from "../scheduler/mod.ts";
-import type { Books } from "./_books.ts";
+import type { CellState } from "./_cell_state.ts";
 import type { Lifecycle } from "./_lifecycle.ts";
 import type { RequestRecord, RequestSpec } from "./types.ts";
 
 /** Places queued requests. */
 export class Placer {
-    readonly #books: Books;
+    readonly #state: CellState;
     readonly #lifecycle: Lifecycle;
 
     /**
-     * @param books The cell's books.
+     * @param state The cell's books.
      * @param lifecycle Moves requests and leases.
      */
-    constructor(books: Books, lifecycle: Lifecycle) {
-        this.#books = books;
+    constructor(state: CellState, lifecycle: Lifecycle) {
+        this.#state = state;
         this.#lifecycle = lifecycle;
     }
 
     /**
      * Places queued requests in precedence order, and ends those past their wait.
      *
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      */
-    placeQueued(at: number): void {
-        this.#books.isDirty = false;
-        const blocked = new Set<string>();
-        let budget = this.#books.options.maxPlacementsPerTick;
-        for (const { precedence, requests } of this.#books.queue.listBuckets()) {
+    placeQueued(nowMs: number): void {
+        this.#state.isPlacementDue = false;
+        const blockedShapes = new Set<string>();
+        let remainingPlacements = this.#state.options.maxPlacementsPerTick;
+        for (const { precedence, requests } of this.#state.queue.listBuckets()) {
             for (const request of requests) {
-                if (budget <= 0) {
-                    this.#books.isDirty = true;
+                if (remainingPlacements <= 0) {
+                    this.#state.isPlacementDue = true;
                     return;
                 }
-                if (this.#checkDeadline(request, at)) {
+                if (this.#checkDeadline(request, nowMs)) {
                     continue;
                 }
                 const { spec } = request;
                 const shape = `${spec.service}|${spec.kind}|${JSON.stringify(spec.demand)}|${spec.count}`;
-                if (blocked.has(shape)) {
+                if (blockedShapes.has(shape)) {
                     continue;
                 }
-                budget -= 1;
-                if (!this.#placeRequest(request, precedence, at)) {
-                    blocked.add(shape);
+                remainingPlacements -= 1;
+                if (!this.#placeRequest(request, precedence, nowMs)) {
+                    blockedShapes.add(shape);
                 }
             }
         }
-        this.#books.queue.removeEnded();
+        this.#state.queue.removeNotQueued();
     }
 
-    #checkDeadline(request: RequestRecord, at: number): boolean {
+    #checkDeadline(request: RequestRecord, nowMs: number): boolean {
         // The wait is for the first start: a request that started and was preempted or lost its
         // worker keeps its place in the queue.
         const { maxWaitMs } = request.spec;
         if (
             maxWaitMs <= 0 ||
             request.startedAt !== undefined ||
-            at - request.acceptedAt <= maxWaitMs
+            nowMs - request.acceptedAt <= maxWaitMs
         ) {
             return false;
         }
@@ -86,79 +86,79 @@
             this.#lifecycle.applyRequestEvent(
                 request,
                 "give_up",
-                at,
+                nowMs,
                 `${reason}; an earlier attempt may have run`,
             );
         } else {
-            this.#lifecycle.applyRequestEvent(request, "refuse", at, reason);
+            this.#lifecycle.applyRequestEvent(request, "refuse", nowMs, reason);
         }
         return true;
     }
 
-    #placeRequest(request: RequestRecord, precedence: number, at: number): boolean {
-        const { rule } = this.#books.getPolicy(request);
-        const ask = this.#createAsk(request, rule);
-        const quota = this.#books.getQuotaCores(request.spec.customer);
+    #placeRequest(request: RequestRecord, precedence: number, nowMs: number): boolean {
+        const { rule } = this.#state.getKindPolicy(request);
+        const requirements = this.#createRequirements(request, rule);
+        const quota = this.#state.getQuotaCores(request.spec.customer);
         if (quota !== undefined) {
-            const used = this.#books.customerCores.get(request.spec.customer) ?? 0;
+            const used = this.#state.customerCores.get(request.spec.customer) ?? 0;
             if (used + request.spec.demand.cores * request.spec.count > quota + 1e-9) {
                 // No figures that change: each new text is a line of the time line, and a request
                 // that waited for its quota for seconds had hundreds of them.
                 this.#recordBlocked(
                     request,
-                    at,
+                    nowMs,
                     `quota of ${request.spec.customer}: ${quota} cores here, not enough left`,
                 );
                 return true;
             }
         }
-        const chosen = placeTask(this.#books.workerList, ask, at);
-        if (chosen !== undefined) {
-            this.#lifecycle.grantAll(request, chosen, at);
+        const workers = placeTask(this.#state.workerList, requirements, nowMs);
+        if (workers !== undefined) {
+            this.#lifecycle.grantLeases(request, workers, nowMs);
             return true;
         }
         if (request.spec.count === 1) {
-            this.#startPreemption(request, ask, precedence, at);
+            this.#startPreemption(request, requirements, precedence, nowMs);
         }
-        this.#recordBlocked(request, at, "no worker has room now");
+        this.#recordBlocked(request, nowMs, "no worker has room now");
         return false;
     }
 
     #startPreemption(
         request: RequestRecord,
-        ask: PlacementAsk,
+        requirements: PlacementAsk,
         precedence: number,
-        at: number,
+        nowMs: number,
     ): void {
         const plan = planPreemption(
-            this.#books.workerList,
-            ask,
+            this.#state.workerList,
+            requirements,
             precedence,
             (w) => this.#listVictims(w),
-            at,
+            nowMs,
         );
         if (plan === undefined) {
             return;
         }
         for (const leaseId of plan.victims) {
-            const lease = this.#books.leases.get(leaseId);
+            const lease = this.#state.leases.get(leaseId);
             if (lease === undefined) {
                 continue;
             }
-            const victim = this.#books.getRequest(lease.request);
+            const victim = this.#state.getRequest(lease.request);
             victim.stopping = "preempt";
-            this.#books.recordFate(
+            this.#state.recordEvent(
                 victim,
-                at,
+                nowMs,
                 "preempt",
                 `stopped for ${request.id} (${request.spec.kind})`,
             );
             this.#lifecycle.stopLeases(victim, "checkpoint");
-            this.#books.counters.preemptions += 1;
+            this.#state.counters.preemptions += 1;
         }
-        this.#books.recordFate(
+        this.#state.recordEvent(
             request,
-            at,
+            nowMs,
             "preempting",
             `${plan.victims.length} task(s) on ${plan.worker.instance.id}`,
         );
@@ -167,15 +167,15 @@
     #listVictims(worker: WorkerState): Victim[] {
         const victims: Victim[] = [];
         for (const leaseId of worker.leases) {
-            const lease = this.#books.leases.get(leaseId);
+            const lease = this.#state.leases.get(leaseId);
             if (lease === undefined || lease.stopSent) {
                 continue;
             }
-            const request = this.#books.getRequest(lease.request);
-            const { kindClass } = this.#books.getPolicy(request);
+            const request = this.#state.getRequest(lease.request);
+            const { kindClass } = this.#state.getKindPolicy(request);
             if (
                 !kindClass.preemptible ||
-                !this.#books.isRetryable(request) ||
+                !this.#state.isRetryable(request) ||
                 request.spec.count !== 1 ||
                 request.stopping !== undefined
             ) {
@@ -191,10 +191,10 @@
         return victims;
     }
 
-    #recordBlocked(request: RequestRecord, at: number, why: string): void {
-        if (request.blockedBy !== why) {
-            request.blockedBy = why;
-            this.#books.recordFate(request, at, "waiting", why);
+    #recordBlocked(request: RequestRecord, nowMs: number, reason: string): void {
+        if (request.blockedBy !== reason) {
+            request.blockedBy = reason;
+            this.#state.recordEvent(request, nowMs, "waiting", reason);
         }
     }
 
@@ -204,32 +204,37 @@
      * @param spec The request.
      * @returns The reason, or `undefined` when it may run.
      */
-    findRefusal(spec: RequestSpec): string | undefined {
-        const rule = getKindRule(this.#books.rules, spec.kind);
+    findRefusalReason(spec: RequestSpec): string | undefined {
+        const rule = getKindRule(this.#state.rules, spec.kind);
         if (rule === undefined) {
             return `no rule names kind "${spec.kind}"`;
         }
-        if (!this.#books.inventory.services.some((s) => s.id === spec.service)) {
+        if (!this.#state.inventory.services.some((s) => s.id === spec.service)) {
             return `no service "${spec.service}" in the inventory`;
         }
-        const quota = this.#books.getQuotaCores(spec.customer);
+        const quota = this.#state.getQuotaCores(spec.customer);
         if (quota !== undefined && spec.demand.cores * spec.count > quota + 1e-9) {
-            return `asks ${spec.demand.cores * spec.count} cores; the quota of ${spec.customer} is ${quota}${this.#books.options.quotaShare < 1 ? " here (this zone's share)" : ""}`;
+            return `asks ${spec.demand.cores * spec.count} cores; the quota of ${spec.customer} is ${quota}${this.#state.options.quotaShare < 1 ? " here (this zone's share)" : ""}`;
         }
-        const ask = this.#createAsk(undefined, rule, spec);
-        const lists = [this.#books.workerList, ...this.#books.options.elsewhere];
-        if (!lists.some((workers) => isEverFeasible(workers, ask))) {
+        const requirements = this.#createRequirements(undefined, rule, spec);
+        const workerGroups = [this.#state.workerList, ...this.#state.options.otherZoneWorkers];
+        if (!workerGroups.some((workers) => isEverFeasible(workers, requirements))) {
             return `no instance of ${spec.service} could ever hold ${spec.count} x ${JSON.stringify(spec.demand)}`;
         }
         return undefined;
     }
 
-    #createAsk(
+    #createRequirements(
         request: RequestRecord | undefined,
         rule: KindRule,
         spec = request?.spec,
     ): PlacementAsk {
-        const s = spec as RequestSpec;
-        return { demand: s.demand, service: s.service, placement: rule.placement, count: s.count };
+        const resolvedSpec = spec as RequestSpec;
+        return {
+            demand: resolvedSpec.demand,
+            service: resolvedSpec.service,
+            placement: rule.placement,
+            count: resolvedSpec.count,
+        };
     }
 }
--- a/cell/_queue.ts
+++ b/cell/_queue.ts
@@ -54,14 +54,14 @@
      * @returns The buckets.
      */
     listBuckets(): QueueBucket[] {
-        this.removeEnded();
+        this.removeNotQueued();
         return [...this.#buckets]
             .sort(([a], [b]) => b - a)
             .map(([precedence, requests]) => ({ precedence, requests }));
     }
 
     /** Drops requests that were placed, cancelled or refused. */
-    removeEnded(): void {
+    removeNotQueued(): void {
         for (const [precedence, bucket] of this.#buckets) {
             const waiting = bucket.filter((r) => r.state === "queued");
             if (waiting.length === 0) {
--- a/cell/_rules_changes.ts
+++ b/cell/_rules_updater.ts
@@ -4,7 +4,7 @@
  *
  * @example
  * ```ts
- * import { RulesChanges } from "./_rules_changes.ts";
+ * import { RulesChanges } from "./_rules_updater.ts";
  * const result = new RulesChanges(books).setRules(change);
  * ```
  *
@@ -13,18 +13,18 @@
 
 import { getKindClass, type RulesChange, type RulesChangeResult } from "../rules/mod.ts";
 import { listRulesProblems, type RulesFile } from "../rules/rules_file.ts";
-import type { Books } from "./_books.ts";
+import type { CellState } from "./_cell_state.ts";
 import { requestChart } from "./_lifecycle.ts";
 
 /** The rules changes of one cell. */
-export class RulesChanges {
-    readonly #books: Books;
+export class RulesUpdater {
+    readonly #state: CellState;
 
     /**
-     * @param books The cell's records.
+     * @param state The cell's records.
      */
-    constructor(books: Books) {
-        this.#books = books;
+    constructor(state: CellState) {
+        this.#state = state;
     }
 
     /**
@@ -34,10 +34,10 @@
      * @returns Applied with the new version, or why not.
      */
     setRules(change: RulesChange): RulesChangeResult {
-        const result = this.#books.rulesBook.applyChange(change, () =>
+        const result = this.#state.rulesStore.applyChange(change, () =>
             this.listRulesProblems(change.rules),
         );
-        this.#books.isDirty = true;
+        this.#state.isPlacementDue = true;
         return result;
     }
 
@@ -50,24 +50,24 @@
      * @returns Whether they are in force now; older ones than those in force are ignored.
      */
     adoptRules(file: RulesFile): boolean {
-        const { rules: before } = this.#books.rulesBook;
-        if (!this.#books.rulesBook.adoptRules(file)) {
+        const { rules: previousRules } = this.#state.rulesStore;
+        if (!this.#state.rulesStore.adoptRules(file)) {
             return false;
         }
-        for (const [kind, rule] of before.kinds) {
-            if (!this.#books.rulesBook.rules.kinds.has(kind)) {
-                this.#books.retiredKinds.set(kind, {
+        for (const [kind, rule] of previousRules.kinds) {
+            if (!this.#state.rulesStore.rules.kinds.has(kind)) {
+                this.#state.retiredKinds.set(kind, {
                     rule,
-                    kindClass: getKindClass(before, rule),
+                    kindClass: getKindClass(previousRules, rule),
                 });
             }
         }
-        for (const request of this.#books.requests.values()) {
-            if (this.#books.rulesBook.rules.kinds.get(request.spec.kind)?.idempotent === false) {
+        for (const request of this.#state.requests.values()) {
+            if (this.#state.rulesStore.rules.kinds.get(request.spec.kind)?.idempotent === false) {
                 request.atMostOnce = true;
             }
         }
-        this.#books.isDirty = true;
+        this.#state.isPlacementDue = true;
         return true;
     }
 
@@ -82,7 +82,7 @@
         const problems = listRulesProblems(rules);
         const kinds = new Set(rules.kinds.map((k) => k.name));
         const inUse = new Map<string, number>();
-        for (const request of this.#books.requests.values()) {
+        for (const request of this.#state.requests.values()) {
             if (!requestChart.finalStates.has(request.state) && !kinds.has(request.spec.kind)) {
                 inUse.set(request.spec.kind, (inUse.get(request.spec.kind) ?? 0) + 1);
             }
--- a/cell/_snapshot.ts
+++ b/cell/_snapshot.ts
@@ -17,12 +17,12 @@
 import type { RulesBookState } from "../rules/mod.ts";
 import type { WorkerState } from "../scheduler/mod.ts";
 import {
-    createKey,
-    type Books,
+    createCallerKey,
+    type CellState,
     type CellCounters,
     type KindPolicy,
     type Tombstone,
-} from "./_books.ts";
+} from "./_cell_state.ts";
 import { RequestQueue } from "./_queue.ts";
 import type { LeaseRecord, RequestRecord } from "./types.ts";
 
@@ -58,14 +58,14 @@
 /**
  * Encodes the books.
  *
- * @param books The books.
+ * @param state The books.
  * @returns JSON text.
  */
-export function encodeBooks(books: Books): string {
+export function encodeState(state: CellState): string {
     const snapshot: CellSnapshot = {
-        rules: books.rulesBook.encode(),
-        retired: [...books.retiredKinds],
-        workers: books.workerList.map((w): [InstanceId, WorkerSnapshot] => [
+        rules: state.rulesStore.encode(),
+        retired: [...state.retiredKinds],
+        workers: state.workerList.map((w): [InstanceId, WorkerSnapshot] => [
             w.instance.id,
             {
                 address: w.address,
@@ -81,15 +81,15 @@
                 leases: [...w.leases],
             },
         ]),
-        requests: [...books.requests.values()],
-        tombstones: [...books.tombstones.values()],
-        ended: books.ended,
-        leases: [...books.liveLeases].flatMap((id) => books.leases.get(id) ?? []),
-        customerCores: [...books.customerCores],
-        counters: books.counters,
-        nextSeq: books.nextSeq,
-        nextEpoch: books.nextEpoch,
-        lastAt: books.lastAt,
+        requests: [...state.requests.values()],
+        tombstones: [...state.tombstones.values()],
+        ended: state.endedRequestIds,
+        leases: [...state.liveLeases].flatMap((id) => state.leases.get(id) ?? []),
+        customerCores: [...state.customerCores],
+        counters: state.counters,
+        nextSeq: state.nextSeq,
+        nextEpoch: state.nextEpoch,
+        lastAt: state.lastInputAt,
     };
     return JSON.stringify(snapshot);
 }
@@ -97,65 +97,71 @@
 /**
  * Replaces the contents of the books. Workers that the inventory no longer has are dropped.
  *
- * @param books The books to fill.
- * @param text What {@link encodeBooks} gave.
+ * @param state The books to fill.
+ * @param text What {@link encodeState} gave.
  */
-export function restoreBooks(books: Books, text: string): void {
+export function restoreState(state: CellState, text: string): void {
     const snapshot = JSON.parse(text) as CellSnapshot;
-    books.rulesBook.restore(snapshot.rules);
-    setAll(books.retiredKinds, snapshot.retired);
-    for (const [id, item] of snapshot.workers) {
-        restoreWorker(books.workers.get(id), item);
+    state.rulesStore.restore(snapshot.rules);
+    replaceEntries(state.retiredKinds, snapshot.retired);
+    for (const [id, workerSnapshot] of snapshot.workers) {
+        restoreWorker(state.workers.get(id), workerSnapshot);
     }
-    setAll(
-        books.requests,
+    replaceEntries(
+        state.requests,
         snapshot.requests.map((r) => [r.id, r]),
     );
-    setAll(
-        books.tombstones,
+    replaceEntries(
+        state.tombstones,
         snapshot.tombstones.map((s) => [s.id, s]),
     );
-    setAll(books.byKey, [
-        ...snapshot.tombstones.map((s) => [createKey(s.caller, s.key), s.id] as const),
-        ...snapshot.requests.map((r) => [createKey(r.spec.caller, r.spec.key), r.id] as const),
+    replaceEntries(state.requestIdsByKey, [
+        ...snapshot.tombstones.map((s) => [createCallerKey(s.caller, s.key), s.id] as const),
+        ...snapshot.requests.map(
+            (r) => [createCallerKey(r.spec.caller, r.spec.key), r.id] as const,
+        ),
     ]);
-    books.ended.splice(0, books.ended.length, ...(snapshot.ended as typeof books.ended));
-    setAll(
-        books.leases,
+    state.endedRequestIds.splice(
+        0,
+        state.endedRequestIds.length,
+        ...(snapshot.ended as typeof state.endedRequestIds),
+    );
+    replaceEntries(
+        state.leases,
         snapshot.leases.map((l) => [l.id, l]),
     );
-    books.liveLeases.clear();
-    snapshot.leases.forEach((l) => books.liveLeases.add(l.id));
-    setAll(books.customerCores, snapshot.customerCores);
-    Object.assign(books.counters, snapshot.counters);
-    books.nextSeq = snapshot.nextSeq;
-    books.nextEpoch = snapshot.nextEpoch;
-    books.lastAt = snapshot.lastAt;
-    books.queue = new RequestQueue();
-    books.handed.clear();
+    state.liveLeases.clear();
+    snapshot.leases.forEach((l) => state.liveLeases.add(l.id));
+    replaceEntries(state.customerCores, snapshot.customerCores);
+    Object.assign(state.counters, snapshot.counters);
+    state.nextSeq = snapshot.nextSeq;
+    state.nextEpoch = snapshot.nextEpoch;
+    state.lastInputAt = snapshot.lastAt;
+    state.queue = new RequestQueue();
+    state.handedOverIds.clear();
     for (const request of snapshot.requests) {
         if (request.state === "queued") {
-            books.queue.add(request, books.getPolicy(request).kindClass.precedence);
+            state.queue.add(request, state.getKindPolicy(request).kindClass.precedence);
         } else if (request.state === "handed") {
-            books.handed.add(request.id);
+            state.handedOverIds.add(request.id);
         }
     }
-    books.isDirty = true;
-    books.takeEffects();
+    state.isPlacementDue = true;
+    state.takeEffects();
 }
 
-function restoreWorker(worker: WorkerState | undefined, item: WorkerSnapshot): void {
+function restoreWorker(worker: WorkerState | undefined, snapshot: WorkerSnapshot): void {
     if (worker === undefined) {
         return;
     }
-    const { slotsUsed, leases, ...rest } = item;
+    const { slotsUsed, leases, ...rest } = snapshot;
     Object.assign(worker, { address: undefined }, rest);
-    setAll(worker.slotsUsed, slotsUsed);
+    replaceEntries(worker.slotsUsed, slotsUsed);
     worker.leases.clear();
     leases.forEach((lease) => worker.leases.add(lease));
 }
 
-function setAll<K, V>(map: Map<K, V>, items: readonly (readonly [K, V])[]): void {
+function replaceEntries<K, V>(map: Map<K, V>, items: readonly (readonly [K, V])[]): void {
     map.clear();
     for (const [key, value] of items) {
         map.set(key, value);
--- a/cell/cell.ts
+++ b/cell/cell.ts
@@ -29,24 +29,24 @@
 import { getFree, isTakingWork, type WorkerState } from "../scheduler/mod.ts";
 import type { RulesFile } from "../rules/rules_file.ts";
 import {
-    Books,
+    CellState,
     computeSpecHash,
-    createKey,
+    createCallerKey,
     type CellCounters,
     type CellOptions,
     type Tombstone,
-} from "./_books.ts";
-import { HandOvers } from "./_hand_overs.ts";
-import { LeaseKeeper } from "./_lease_keeper.ts";
+} from "./_cell_state.ts";
+import { HandOverManager } from "./_hand_over_manager.ts";
+import { LeaseManager } from "./_lease_manager.ts";
 import { Lifecycle, requestChart } from "./_lifecycle.ts";
 import { Placer } from "./_placer.ts";
-import { RulesChanges } from "./_rules_changes.ts";
-import { encodeBooks, restoreBooks } from "./_snapshot.ts";
+import { RulesUpdater } from "./_rules_updater.ts";
+import { encodeState, restoreState } from "./_snapshot.ts";
 import {
-    ADOPTED_CALLER,
-    HANDED_OVER_AS,
+    HANDED_OVER_CALLER_PREFIX,
+    HANDED_OVER_DETAIL_PREFIX,
     KeyConflictError,
-    type Answer,
+    type RequestStatus,
     type CellInput,
     type Effect,
     type HeldLease,
@@ -56,31 +56,31 @@
     type TaskReport,
 } from "./types.ts";
 
-export type { CellCounters, CellOptions } from "./_books.ts";
+export type { CellCounters, CellOptions } from "./_cell_state.ts";
 
 /** How often a queue that nothing changed for is looked at again, in ms (quarantines end). */
-const IDLE_PLACE_MS = 100;
+const PLACEMENT_RETRY_INTERVAL_MS = 100;
 
 /** The cell's state machine. */
 export class Cell {
-    readonly #books: Books;
+    readonly #state: CellState;
     readonly #lifecycle: Lifecycle;
     readonly #placer: Placer;
-    readonly #handOvers: HandOvers;
-    readonly #leases: LeaseKeeper;
-    readonly #rulesChanges: RulesChanges;
+    readonly #handOverManager: HandOverManager;
+    readonly #leaseManager: LeaseManager;
+    readonly #rulesUpdater: RulesUpdater;
     #lastPlacedAt = 0;
 
     /**
      * @param options The inventory, the rules and timings; see {@link CellOptions}.
      */
     constructor(options: CellOptions) {
-        this.#books = new Books(options);
-        this.#lifecycle = new Lifecycle(this.#books);
-        this.#placer = new Placer(this.#books, this.#lifecycle);
-        this.#handOvers = new HandOvers(this.#books, this.#lifecycle);
-        this.#leases = new LeaseKeeper(this.#books, this.#lifecycle);
-        this.#rulesChanges = new RulesChanges(this.#books);
+        this.#state = new CellState(options);
+        this.#lifecycle = new Lifecycle(this.#state);
+        this.#placer = new Placer(this.#state, this.#lifecycle);
+        this.#handOverManager = new HandOverManager(this.#state, this.#lifecycle);
+        this.#leaseManager = new LeaseManager(this.#state, this.#lifecycle);
+        this.#rulesUpdater = new RulesUpdater(this.#state);
     }
 
     /**
@@ -90,8 +90,8 @@
      * @returns What the sender of the input is told, where it is told anything.
      * @throws {KeyConflictError} See {@link Cell.submit}.
      */
-    applyInput(input: CellInput): Answer | RulesChangeResult | boolean | undefined {
-        this.#books.lastAt = Math.max(this.#books.lastAt, input.at);
+    applyInput(input: CellInput): RequestStatus | RulesChangeResult | boolean | undefined {
+        this.#state.lastInputAt = Math.max(this.#state.lastInputAt, input.at);
         switch (input.type) {
             case "submit":
                 return this.submit(input.spec, input.at);
@@ -108,7 +108,7 @@
             case "drain":
                 return this.drainWorker(input.instance, input.at, "drained");
             case "undrain":
-                return this.releaseDrain(input.instance);
+                return this.cancelDrain(input.instance);
             case "heartbeat":
                 this.handleHeartbeat(input.instance, input.leases, input.at);
                 return undefined;
@@ -125,10 +125,15 @@
                 this.handleReport(input.lease, input.epoch, input.report, input.detail, input.at);
                 return undefined;
             case "handOver":
-                this.#handOvers.startHandOver(input.request, input.to, input.at);
+                this.#handOverManager.startHandOver(input.request, input.to, input.at);
                 return undefined;
             case "handOverResult":
-                this.#handOvers.handleResult(input.request, input.key, input.answer, input.at);
+                this.#handOverManager.handleResult(
+                    input.request,
+                    input.key,
+                    input.answer,
+                    input.at,
+                );
                 return undefined;
             case "setRules":
                 return this.setRules(input.change);
@@ -143,7 +148,7 @@
      * @returns Effects in the order they arose.
      */
     takeEffects(): Effect[] {
-        return this.#books.takeEffects();
+        return this.#state.takeEffects();
     }
 
     /**
@@ -152,7 +157,7 @@
      * @returns Text for {@link Cell.restore}.
      */
     encode(): string {
-        return encodeBooks(this.#books);
+        return encodeState(this.#state);
     }
 
     /**
@@ -161,74 +166,74 @@
      * @param text What {@link Cell.encode} gave.
      */
     restore(text: string): void {
-        restoreBooks(this.#books, text);
+        restoreState(this.#state, text);
     }
 
     /** The rules in force. */
     get rules(): Rules {
-        return this.#books.rules;
+        return this.#state.rules;
     }
 
     /** The inventory. */
     get inventory(): Inventory {
-        return this.#books.inventory;
+        return this.#state.inventory;
     }
 
     /** Counters since the cell began. */
     get counters(): CellCounters {
-        return this.#books.counters;
+        return this.#state.counters;
     }
 
     /** The time of the newest input, in ms. */
-    get lastAt(): number {
-        return this.#books.lastAt;
+    get lastInputAt(): number {
+        return this.#state.lastInputAt;
     }
 
     /**
      * Accepts a request, or returns the one that already holds its idempotency key.
      *
      * @param spec The request.
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      * @returns The answer as it stands now.
      * @throws {KeyConflictError} When the key names a request with other contents.
      */
-    submit(spec: RequestSpec, at: number): Answer {
-        const keyOf = createKey(spec.caller, spec.key);
-        const existing = this.#books.byKey.get(keyOf);
-        if (existing !== undefined) {
-            this.#checkSameSpec(existing, spec);
-            return this.describeRequest(existing) as Answer;
+    submit(spec: RequestSpec, nowMs: number): RequestStatus {
+        const callerKey = createCallerKey(spec.caller, spec.key);
+        const existingId = this.#state.requestIdsByKey.get(callerKey);
+        if (existingId !== undefined) {
+            this.#checkSameSpec(existingId, spec);
+            return this.describeRequest(existingId) as RequestStatus;
         }
-        const seq = this.#books.nextSeq++;
-        const id = createId<RequestId>(`${this.#books.options.idPrefix}r${seq}`);
-        const request = this.#createRequest(id, seq, spec, at);
-        this.#books.requests.set(id, request);
-        this.#books.byKey.set(keyOf, id);
-        const isAdopted = spec.caller.startsWith(ADOPTED_CALLER);
-        this.#books.recordFate(
+        const seq = this.#state.nextSeq++;
+        const id = createId<RequestId>(`${this.#state.options.idPrefix}r${seq}`);
+        const request = this.#createRequest(id, seq, spec, nowMs);
+        this.#state.requests.set(id, request);
+        this.#state.requestIdsByKey.set(callerKey, id);
+        const isHandedOver = spec.caller.startsWith(HANDED_OVER_CALLER_PREFIX);
+        this.#state.recordEvent(
             request,
-            at,
+            nowMs,
             "accepted",
-            `${spec.kind} x${spec.count} for ${spec.customer}${isAdopted ? `, ${HANDED_OVER_AS}${spec.key}` : ""}`,
+            `${spec.kind} x${spec.count} for ${spec.customer}${isHandedOver ? `, ${HANDED_OVER_DETAIL_PREFIX}${spec.key}` : ""}`,
         );
-        const refusal = this.#placer.findRefusal(spec);
+        const refusal = this.#placer.findRefusalReason(spec);
         if (refusal !== undefined) {
-            this.#lifecycle.applyRequestEvent(request, "refuse", at, refusal);
+            this.#lifecycle.applyRequestEvent(request, "refuse", nowMs, refusal);
         } else {
-            this.#books.addToQueue(request);
+            this.#state.addToQueue(request);
         }
-        return this.describeRequest(id) as Answer;
+        return this.describeRequest(id) as RequestStatus;
     }
 
     /**
      * Cancels a request: at once if queued, after the workers confirm the stop otherwise.
      *
      * @param id The request.
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      * @returns The answer, or `undefined` for an unknown id.
      */
-    cancel(id: RequestId, at: number): Answer | undefined {
-        const request = this.#books.requests.get(id);
+    cancel(id: RequestId, nowMs: number): RequestStatus | undefined {
+        const request = this.#state.requests.get(id);
         if (request === undefined) {
             return this.describeRequest(id);
         }
@@ -236,13 +241,13 @@
             const reason = request.mayHaveStarted
                 ? "cancelled; an earlier attempt may have run"
                 : "cancelled before it started";
-            this.#lifecycle.applyRequestEvent(request, "cancel", at, reason);
+            this.#lifecycle.applyRequestEvent(request, "cancel", nowMs, reason);
         } else if (request.state === "leased" || request.state === "running") {
-            this.#lifecycle.applyRequestEvent(request, "cancel", at, "cancel asked; stopping");
+            this.#lifecycle.applyRequestEvent(request, "cancel", nowMs, "cancel asked; stopping");
             request.stopping = "cancel";
             this.#lifecycle.stopLeases(request, "stop");
         } else if (request.state === "handed") {
-            this.#handOvers.cancel(request, at);
+            this.#handOverManager.cancel(request, nowMs);
         }
         return this.describeRequest(id);
     }
@@ -253,11 +258,11 @@
      * @param id The request.
      * @returns The answer, or `undefined` for an unknown id.
      */
-    describeRequest(id: RequestId): Answer | undefined {
-        const request = this.#books.requests.get(id);
+    describeRequest(id: RequestId): RequestStatus | undefined {
+        const request = this.#state.requests.get(id);
         if (request === undefined) {
-            const stone = this.#books.tombstones.get(id);
-            return stone === undefined ? undefined : describeTombstone(stone);
+            const tombstone = this.#state.tombstones.get(id);
+            return tombstone === undefined ? undefined : describeTombstone(tombstone);
         }
         const final = requestChart.finalStates.has(request.state);
         return {
@@ -288,8 +293,8 @@
      * @param key The key.
      * @returns The request's id, or `undefined`.
      */
-    findByKey(caller: string, key: string): RequestId | undefined {
-        return this.#books.byKey.get(createKey(caller, key));
+    findRequestIdByKey(caller: string, key: string): RequestId | undefined {
+        return this.#state.requestIdsByKey.get(createCallerKey(caller, key));
     }
 
     /**
@@ -299,7 +304,7 @@
      * @returns The request as sent, or `undefined` when its time line was dropped.
      */
     findSpec(id: RequestId): RequestSpec | undefined {
-        return this.#books.requests.get(id)?.spec;
+        return this.#state.requests.get(id)?.spec;
     }
 
     /**
@@ -307,8 +312,8 @@
      *
      * @returns The ids.
      */
-    listRequests(): RequestId[] {
-        return [...this.#books.requests.keys()];
+    listRequestIds(): RequestId[] {
+        return [...this.#state.requests.keys()];
     }
 
     /**
@@ -316,9 +321,9 @@
      *
      * @returns The states with their counts.
      */
-    computeStates(): Map<string, number> {
+    countRequestsByState(): Map<string, number> {
         const states = new Map<string, number>();
-        for (const request of this.#books.requests.values()) {
+        for (const request of this.#state.requests.values()) {
             states.set(request.state, (states.get(request.state) ?? 0) + 1);
         }
         return states;
@@ -330,7 +335,7 @@
      * @returns The views.
      */
     listWorkers(): readonly WorkerState[] {
-        return this.#books.workerList;
+        return this.#state.workerList;
     }
 
     /**
@@ -340,7 +345,7 @@
      * @returns The view, or `undefined` for an unknown instance.
      */
     findWorker(instance: InstanceId): WorkerState | undefined {
-        return this.#books.workers.get(instance);
+        return this.#state.workers.get(instance);
     }
 
     /**
@@ -349,7 +354,7 @@
      * @returns The leases.
      */
     listLeases(): LeaseRecord[] {
-        return [...this.#books.leases.values()];
+        return [...this.#state.leases.values()];
     }
 
     /**
@@ -358,7 +363,7 @@
      * @returns The leases.
      */
     listLiveLeases(): LeaseRecord[] {
-        return [...this.#books.liveLeases].flatMap((id) => this.#books.leases.get(id) ?? []);
+        return [...this.#state.liveLeases].flatMap((id) => this.#state.leases.get(id) ?? []);
     }
 
     /**
@@ -366,11 +371,11 @@
      *
      * @param instance The worker's instance.
      * @param address Where its agent listens.
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      * @param incarnation The worker process; a restarted one gives another.
      */
-    announceWorker(instance: InstanceId, address: string, at: number, incarnation = ""): void {
-        const worker = this.#books.workers.get(instance);
+    announceWorker(instance: InstanceId, address: string, nowMs: number, incarnation = ""): void {
+        const worker = this.#state.workers.get(instance);
         if (worker === undefined) {
             return;
         }
@@ -378,24 +383,24 @@
         worker.incarnation = incarnation;
         worker.alive = true;
         worker.leaving = false;
-        worker.lastHeartbeatAt = at;
-        this.#books.isDirty = true;
+        worker.lastHeartbeatAt = nowMs;
+        this.#state.isPlacementDue = true;
     }
 
     /**
      * Stops new work going to a worker; its tasks go on.
      *
      * @param instance The worker's instance.
-     * @param _at The time in ms.
-     * @param why "drained" by an operator (until undrained) or "leaving" by its own word.
+     * @param _nowMs The time in ms.
+     * @param reason "drained" by an operator (until undrained) or "leaving" by its own word.
      * @returns False for an unknown instance.
      */
-    drainWorker(instance: InstanceId, _at: number, why: "drained" | "leaving"): boolean {
-        const worker = this.#books.workers.get(instance);
+    drainWorker(instance: InstanceId, _nowMs: number, reason: "drained" | "leaving"): boolean {
+        const worker = this.#state.workers.get(instance);
         if (worker === undefined) {
             return false;
         }
-        worker[why] = true;
+        worker[reason] = true;
         return true;
     }
 
@@ -405,34 +410,34 @@
      * @param instance The worker's instance.
      * @returns False for an unknown instance.
      */
-    releaseDrain(instance: InstanceId): boolean {
-        const worker = this.#books.workers.get(instance);
+    cancelDrain(instance: InstanceId): boolean {
+        const worker = this.#state.workers.get(instance);
         if (worker === undefined) {
             return false;
         }
         worker.drained = false;
-        this.#books.isDirty = true;
+        this.#state.isPlacementDue = true;
         return true;
     }
 
-    /** See {@link LeaseKeeper.handleHeartbeat}. */
-    handleHeartbeat(instance: InstanceId, held: readonly HeldLease[], at: number): void {
-        this.#leases.handleHeartbeat(instance, held, at);
+    /** See {@link LeaseManager.handleHeartbeat}. */
+    handleHeartbeat(instance: InstanceId, held: readonly HeldLease[], nowMs: number): void {
+        this.#leaseManager.handleHeartbeat(instance, held, nowMs);
     }
 
-    /** See {@link LeaseKeeper.isRenewal}. */
+    /** See {@link LeaseManager.isRenewal}. */
     isRenewal(instance: InstanceId, held: readonly HeldLease[]): boolean {
-        return this.#leases.isRenewal(instance, held);
+        return this.#leaseManager.isRenewal(instance, held);
     }
 
-    /** See {@link LeaseKeeper.listToStop}. */
-    listToStop(held: readonly HeldLease[]): LeaseId[] {
-        return this.#leases.listToStop(held);
+    /** See {@link LeaseManager.listLeasesToStop}. */
+    listLeasesToStop(held: readonly HeldLease[]): LeaseId[] {
+        return this.#leaseManager.listLeasesToStop(held);
     }
 
-    /** See {@link LeaseKeeper.renewWorkers}. */
-    renewWorkers(instances: readonly InstanceId[], at: number): void {
-        this.#leases.renewWorkers(instances, at);
+    /** See {@link LeaseManager.renewWorkers}. */
+    renewWorkers(instances: readonly InstanceId[], nowMs: number): void {
+        this.#leaseManager.renewWorkers(instances, nowMs);
     }
 
     /**
@@ -440,84 +445,90 @@
      * heartbeats that the leader before heard last may not be in the log, and what that leader
      * may not have sent is sent again.
      *
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      */
-    handleTakeover(at: number): void {
-        for (const worker of this.#books.workerList) {
+    handleTakeover(nowMs: number): void {
+        for (const worker of this.#state.workerList) {
             if (worker.alive) {
-                worker.lastHeartbeatAt = Math.max(worker.lastHeartbeatAt, at);
+                worker.lastHeartbeatAt = Math.max(worker.lastHeartbeatAt, nowMs);
             }
         }
         for (const lease of this.listLiveLeases()) {
-            lease.renewedAt = Math.max(lease.renewedAt, at);
+            lease.renewedAt = Math.max(lease.renewedAt, nowMs);
         }
-        this.#lifecycle.emitUnanswered();
-        this.#handOvers.emitAll();
-        this.#books.isDirty = true;
+        this.#lifecycle.emitUnacknowledged();
+        this.#handOverManager.emitPending();
+        this.#state.isPlacementDue = true;
     }
 
-    /** See {@link LeaseKeeper.handleGrantReply}. */
-    handleGrantReply(id: LeaseId, accepted: boolean, reason: string, at: number): void {
-        this.#leases.handleGrantReply(id, accepted, reason, at);
+    /** See {@link LeaseManager.handleGrantReply}. */
+    handleGrantReply(id: LeaseId, accepted: boolean, reason: string, nowMs: number): void {
+        this.#leaseManager.handleGrantReply(id, accepted, reason, nowMs);
     }
 
-    /** See {@link LeaseKeeper.handleReport}. */
-    handleReport(id: LeaseId, epoch: number, report: TaskReport, detail: string, at: number): void {
-        this.#leases.handleReport(id, epoch, report, detail, at);
+    /** See {@link LeaseManager.handleReport}. */
+    handleReport(
+        id: LeaseId,
+        epoch: number,
+        report: TaskReport,
+        detail: string,
+        nowMs: number,
+    ): void {
+        this.#leaseManager.handleReport(id, epoch, report, detail, nowMs);
     }
 
-    /** See {@link RulesChanges.setRules}. */
+    /** See {@link RulesUpdater.setRules}. */
     setRules(change: RulesChange): RulesChangeResult {
-        return this.#rulesChanges.setRules(change);
+        return this.#rulesUpdater.setRules(change);
     }
 
-    /** See {@link RulesChanges.adoptRules}. */
+    /** See {@link RulesUpdater.adoptRules}. */
     adoptRules(file: RulesFile): boolean {
-        return this.#rulesChanges.adoptRules(file);
+        return this.#rulesUpdater.adoptRules(file);
     }
 
-    /** See {@link RulesChanges.listRulesProblems}. */
+    /** See {@link RulesUpdater.listRulesProblems}. */
     listRulesProblems(rules: RulesFile): string[] {
-        return this.#rulesChanges.listRulesProblems(rules);
+        return this.#rulesUpdater.listRulesProblems(rules);
     }
 
     /**
      * Advances the cell's clock: ends leases and workers that went silent, gives up on requests
      * past their wait, and places queued work in precedence order.
      *
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      */
-    tick(at: number): void {
-        this.#leases.expireLeases(at);
-        this.#placer.placeQueued(at);
-        this.#books.removeOld(at);
-        this.#lastPlacedAt = at;
+    tick(nowMs: number): void {
+        this.#leaseManager.expireLeases(nowMs);
+        this.#placer.placeQueued(nowMs);
+        this.#state.removeExpiredRequests(nowMs);
+        this.#lastPlacedAt = nowMs;
     }
 
     /**
      * Lists queued requests that could be handed over to another zone's group: waiting for a
      * while, and not themselves handed over by one.
      *
-     * @param at The time in ms.
-     * @param most The most to list.
+     * @param nowMs The time in ms.
+     * @param limit The most to list.
      * @returns The requests, highest precedence first.
      */
-    listWaiting(at: number, most: number): RequestRecord[] {
-        return this.#handOvers.listWaiting(at, most);
+    listHandOverCandidates(nowMs: number, limit: number): RequestRecord[] {
+        return this.#handOverManager.listCandidates(nowMs, limit);
     }
 
     /**
      * Tells how much of the cell's cores is free for new work.
      *
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      * @returns Free cores; 0 while work is queued here.
      */
-    computeFreeCores(at: number): number {
-        if (!this.#books.queue.isEmpty) {
+    computeFreeCores(nowMs: number): number {
+        if (!this.#state.queue.isEmpty) {
             return 0;
         }
-        return this.#books.workerList
-            .filter((w) => isTakingWork(w, at))
+        return this.#state.workerList
+            .filter((w) => isTakingWork(w, nowMs))
             .reduce((sum, w) => sum + getFree(w).cores, 0);
     }
 
@@ -525,38 +536,38 @@
      * Tells whether a tick at a time could change anything, so that an idle leader asks its
      * group to agree on nothing.
      *
-     * @param at The time in ms.
+     * @param nowMs The time in ms.
      * @returns False when a tick would be without effect.
      */
-    hasTickWork(at: number): boolean {
-        if (this.#books.isDirty && !this.#books.queue.isEmpty) {
+    hasTickWork(nowMs: number): boolean {
+        if (this.#state.isPlacementDue && !this.#state.queue.isEmpty) {
             return true;
         }
-        if (at - this.#lastPlacedAt < IDLE_PLACE_MS) {
+        if (nowMs - this.#lastPlacedAt < PLACEMENT_RETRY_INTERVAL_MS) {
             return false;
         }
-        return !this.#books.queue.isEmpty || this.#leases.hasExpired(at);
+        return !this.#state.queue.isEmpty || this.#leaseManager.hasExpired(nowMs);
     }
 
-    #checkSameSpec(existing: RequestId, spec: RequestSpec): void {
-        const request = this.#books.requests.get(existing);
+    #checkSameSpec(existingId: RequestId, spec: RequestSpec): void {
+        const request = this.#state.requests.get(existingId);
         const isSame =
             request === undefined
-                ? this.#books.tombstones.get(existing)?.specHash === computeSpecHash(spec)
+                ? this.#state.tombstones.get(existingId)?.specHash === computeSpecHash(spec)
                 : JSON.stringify(request.spec) === JSON.stringify(spec);
         if (!isSame) {
-            throw new KeyConflictError(spec.caller, spec.key, existing);
+            throw new KeyConflictError(spec.caller, spec.key, existingId);
         }
     }
 
-    #createRequest(id: RequestId, seq: number, spec: RequestSpec, at: number): RequestRecord {
+    #createRequest(id: RequestId, seq: number, spec: RequestSpec, nowMs: number): RequestRecord {
         return {
             id,
             seq,
             spec,
-            atMostOnce: this.#books.findPolicy(spec.kind)?.rule.idempotent === false,
+            atMostOnce: this.#state.findKindPolicy(spec.kind)?.rule.idempotent === false,
             state: requestChart.initial,
-            acceptedAt: at,
+            acceptedAt: nowMs,
             startedAt: undefined,
             endedAt: undefined,
             reason: undefined,
@@ -568,7 +579,7 @@
             stopping: undefined,
             trouble: undefined,
             troubleDetail: "",
-            queuedAt: at,
+            queuedAt: nowMs,
             handedTo: undefined,
             handOvers: 0,
             blockedBy: undefined,
@@ -583,21 +594,21 @@
     }
 }
 
-function describeTombstone(stone: Tombstone): Answer {
+function describeTombstone(tombstone: Tombstone): RequestStatus {
     return {
-        requestId: stone.id,
-        caller: stone.caller,
-        key: stone.key,
-        kind: stone.kind,
-        state: stone.state,
+        requestId: tombstone.id,
+        caller: tombstone.caller,
+        key: tombstone.key,
+        kind: tombstone.kind,
+        state: tombstone.state,
         final: true,
-        reason: stone.reason,
-        started: stone.started,
-        mayHaveRun: stone.mayHaveStarted,
-        attempts: stone.attempts,
-        acceptedAt: stone.acceptedAt,
-        startedAt: stone.startedAt,
-        endedAt: stone.endedAt,
+        reason: tombstone.reason,
+        started: tombstone.started,
+        mayHaveRun: tombstone.mayHaveStarted,
+        attempts: tombstone.attempts,
+        acceptedAt: tombstone.acceptedAt,
+        startedAt: tombstone.startedAt,
+        endedAt: tombstone.endedAt,
         retryAfterMs: undefined,
         events: [],
     };
--- a/cell/cell_test.ts
+++ b/cell/cell_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { createId, type InstanceId, type LeaseId } from "../inventory/mod.ts";
 import { buildCell, buildSpec } from "./_fixtures.ts";
-import { listViolations } from "./_invariants.ts";
+import { listInvariantViolations } from "./_invariants.ts";
 import type { Cell, Effect } from "./mod.ts";
 
 function takeGrants(cell: Cell): Extract<Effect, { type: "grant" }>[] {
@@ -10,15 +10,15 @@
         .filter((e): e is Extract<Effect, { type: "grant" }> => e.type === "grant");
 }
 
-function startAll(
+function startTasks(
     cell: Cell,
     grants: readonly Extract<Effect, { type: "grant" }>[],
-    at: number,
+    nowMs: number,
     started: Set<LeaseId>,
 ): void {
     for (const grant of grants) {
-        cell.handleGrantReply(grant.lease.lease, true, "", at);
-        cell.handleReport(grant.lease.lease, grant.lease.epoch, "started", "", at);
+        cell.handleGrantReply(grant.lease.lease, true, "", nowMs);
+        cell.handleReport(grant.lease.lease, grant.lease.epoch, "started", "", nowMs);
         started.add(grant.lease.lease);
     }
 }
@@ -31,15 +31,15 @@
     const started = new Set<LeaseId>();
     const answer = cell.submit(buildSpec({ kind: "batch" }), 0);
     cell.tick(1);
-    startAll(cell, takeGrants(cell), 2, started);
+    startTasks(cell, takeGrants(cell), 2, started);
     cell.tick(500);
     cell.tick(600);
-    const fate = cell.describeRequest(answer.requestId);
-    t.is(fate?.state, "failed");
-    t.true(fate?.mayHaveRun);
-    t.is(fate?.attempts, 1);
+    const status = cell.describeRequest(answer.requestId);
+    t.is(status?.state, "failed");
+    t.true(status?.mayHaveRun);
+    t.is(status?.attempts, 1);
     t.is(takeGrants(cell).length, 0);
-    t.deepEqual(listViolations(cell, started), []);
+    t.deepEqual(listInvariantViolations(cell, started), []);
 });
 
 test("an idempotent preview is leased again only after its first lease has expired", (t) => {
@@ -50,7 +50,7 @@
     const started = new Set<LeaseId>();
     const answer = cell.submit(buildSpec({ kind: "preview" }), 0);
     cell.tick(1);
-    startAll(cell, takeGrants(cell), 2, started);
+    startTasks(cell, takeGrants(cell), 2, started);
     cell.handleHeartbeat(createId("w2"), [], 120);
     cell.tick(140);
     t.is(takeGrants(cell).length, 0, "no second lease while the first may still run");
@@ -60,10 +60,10 @@
     t.is(second.length, 1);
     t.is(second[0]?.lease.instance, createId<InstanceId>("w2"));
     t.true((second[0]?.lease.epoch ?? 0) > 1, "the new lease carries a higher epoch");
-    startAll(cell, second, 201, started);
+    startTasks(cell, second, 201, started);
     cell.handleReport(second[0]!.lease.lease, second[0]!.lease.epoch, "completed", "", 250);
     t.is(cell.describeRequest(answer.requestId)?.state, "completed");
-    t.deepEqual(listViolations(cell, started), []);
+    t.deepEqual(listInvariantViolations(cell, started), []);
 });
 
 test("a resend with the same key returns the same request; other contents under it are refused", (t) => {
@@ -74,7 +74,7 @@
     const first = cell.submit(spec, 0);
     const again = cell.submit(spec, 5);
     t.is(again.requestId, first.requestId);
-    t.is(cell.listRequests().length, 1);
+    t.is(cell.listRequestIds().length, 1);
     t.throws(
         () => cell.submit({ ...spec, demand: { cores: 3, memoryMb: 1, accelerators: 0 } }, 6),
         { name: "KeyConflictError" },
@@ -109,7 +109,7 @@
         0,
     );
     cell.tick(1);
-    startAll(cell, takeGrants(cell), 2, started);
+    startTasks(cell, takeGrants(cell), 2, started);
     const preview = cell.submit(
         buildSpec({ kind: "preview", demand: { cores: 4, memoryMb: 1, accelerators: 0 } }),
         3,
@@ -125,7 +125,7 @@
     t.is(grants[0]?.lease.request, preview.requestId);
     t.is(cell.describeRequest(hero.requestId)?.state, "queued");
     t.is(cell.describeRequest(batch.requestId)?.state, "running");
-    t.deepEqual(listViolations(cell, started), []);
+    t.deepEqual(listInvariantViolations(cell, started), []);
 });
 
 test("a cancelled queued reel says it never ran; a worker that fails everything is quarantined", (t) => {
--- a/cell/replication_test.ts
+++ b/cell/replication_test.ts
@@ -8,7 +8,10 @@
 
 type Grant = Extract<Effect, { type: "grant" }>;
 
-function takeOf<T extends Effect["type"]>(cell: Cell, type: T): Extract<Effect, { type: T }>[] {
+function takeEffectsOfType<T extends Effect["type"]>(
+    cell: Cell,
+    type: T,
+): Extract<Effect, { type: T }>[] {
     return cell.takeEffects().filter((e): e is Extract<Effect, { type: T }> => e.type === type);
 }
 
@@ -20,9 +23,9 @@
     cell.submit(buildSpec({ kind: "batch" }), 0);
     const cancelled = cell.submit(buildSpec({ kind: "batch" }), 0);
     cell.tick(1);
-    const grants = takeOf(cell, "grant");
+    const grants = takeEffectsOfType(cell, "grant");
     cell.cancel(cancelled.requestId, 2);
-    const stops = takeOf(cell, "stop");
+    const stops = takeEffectsOfType(cell, "stop");
     cell.handleTakeover(2_900);
     const again = cell.takeEffects();
     const offered = again.filter((e): e is Grant => e.type === "grant");
@@ -41,7 +44,7 @@
     const cell = buildCell({ workers: 4, leaseTtlMs: 100, leaseGraceMs: 50 });
     const gang = cell.submit(buildSpec({ kind: "gang", count: 4 }), 0);
     cell.tick(1);
-    t.is(takeOf(cell, "grant").length, 4);
+    t.is(takeEffectsOfType(cell, "grant").length, 4);
     cell.tick(500);
     t.like(cell.describeRequest(gang.requestId), { state: "queued", attempts: 1 });
 });
@@ -52,7 +55,7 @@
     const cell = buildCell({ workers: 1, leaseTtlMs: 100, leaseGraceMs: 50 });
     const batch = cell.submit(buildSpec({ kind: "batch" }), 0);
     cell.tick(1);
-    const [grant] = takeOf(cell, "grant");
+    const [grant] = takeEffectsOfType(cell, "grant");
     t.is(grant?.lease.incarnation, "");
     cell.handleReport(grant?.lease.lease as LeaseId, grant?.lease.epoch ?? 0, "started", "", 2);
     cell.announceWorker(createId<InstanceId>("w1"), "new", 50, "second");
@@ -72,10 +75,10 @@
     cell.announceWorker(instance, "a", 1, "second");
     cell.submit(buildSpec(), 2);
     cell.tick(3);
-    t.is(takeOf(cell, "grant").length, 0);
-    cell.releaseDrain(instance);
+    t.is(takeEffectsOfType(cell, "grant").length, 0);
+    cell.cancelDrain(instance);
     cell.tick(4);
-    t.is(takeOf(cell, "grant").length, 1);
+    t.is(takeEffectsOfType(cell, "grant").length, 1);
 });
 
 test("rules that make a kind idempotent do not make accepted work run twice", (t) => {
@@ -84,7 +87,7 @@
     const cell = buildCell({ workers: 2, leaseTtlMs: 100, leaseGraceMs: 50 });
     const batch = cell.submit(buildSpec({ kind: "batch" }), 0);
     cell.tick(1);
-    takeOf(cell, "grant");
+    takeEffectsOfType(cell, "grant");
     const file = createRulesFile(buildRulesFixture());
     const rules = {
         ...file,
@@ -116,11 +119,11 @@
     const spec = buildSpec({ kind: "batch" });
     const { requestId } = cell.submit(spec, 0);
     cell.tick(1);
-    const [grant] = takeOf(cell, "grant");
+    const [grant] = takeEffectsOfType(cell, "grant");
     cell.handleReport(grant?.lease.lease as LeaseId, grant?.lease.epoch ?? 0, "started", "", 2);
     cell.handleReport(grant?.lease.lease as LeaseId, grant?.lease.epoch ?? 0, "completed", "", 3);
     cell.tick(2_000);
-    t.is(cell.listRequests().length, 0);
+    t.is(cell.listRequestIds().length, 0);
     t.is(cell.listLeases().length, 0);
     t.like(cell.submit(spec, 2_001), { requestId, state: "completed", events: [] });
     t.throws(() => cell.submit({ ...spec, count: 2 }, 2_002), { name: "KeyConflictError" });
@@ -173,15 +176,15 @@
     const { requestId } = cell.submit(buildSpec({ kind: "batch" }), 0);
     cell.tick(1);
     t.deepEqual(
-        cell.listWaiting(200, 10).map((r) => r.id),
+        cell.listHandOverCandidates(200, 10).map((r) => r.id),
         [requestId],
     );
     cell.applyInput({ type: "handOver", at: 200, request: requestId, to: "z2" });
-    const [effect] = takeOf(cell, "handOver");
+    const [effect] = takeEffectsOfType(cell, "handOver");
     const key = effect?.handOver.key ?? "";
     t.like(cell.describeRequest(requestId), { state: "handed", mayHaveRun: true, final: false });
     cell.handleTakeover(300);
-    t.is(takeOf(cell, "handOver").length, 1, "a new leader asks after it");
+    t.is(takeEffectsOfType(cell, "handOver").length, 1, "a new leader asks after it");
     const refused = {
         requestId: createId<RequestId>("z2.r1"),
         state: "refused",
@@ -202,7 +205,7 @@
     });
     t.is(cell.describeRequest(requestId)?.state, "handed", "the late answer is of the first time");
     const failed = { ...refused, state: "failed", mayHaveRun: true, started: true };
-    const again = takeOf(cell, "handOver").at(-1)?.handOver.key ?? "";
+    const again = takeEffectsOfType(cell, "handOver").at(-1)?.handOver.key ?? "";
     cell.applyInput({
         type: "handOverResult",
         at: 2_200,
@@ -217,14 +220,14 @@
     // The zone's instances have 4 cores; another zone's have 16. Refused at once, the caller would
     // be told that no instance could ever hold it, which is not true of the whole cell.
     const large = buildInventoryFixture({ workers: 1, cores: 16 });
-    const elsewhere = [large.instances.map((i) => createWorkerState(i, large.executors))];
-    const cell = buildCell({ workers: 1, cores: 4, elsewhere });
+    const otherZoneWorkers = [large.instances.map((i) => createWorkerState(i, large.executors))];
+    const cell = buildCell({ workers: 1, cores: 4, otherZoneWorkers });
     const demand = { cores: 8, memoryMb: 1, accelerators: 0 };
     t.is(cell.submit(buildSpec({ demand }), 0).state, "queued");
     t.is(cell.submit(buildSpec({ demand: { ...demand, cores: 99 } }), 0).state, "refused");
 });
 
-const inputArb = fc.record({
+const stepArbitrary = fc.record({
     kind: fc.constantFrom("submit", "tick", "start", "complete", "fail", "beat", "cancel", "leap"),
     pick: fc.nat(20),
     cores: fc.integer({ min: 1, max: 12 }),
@@ -236,7 +239,7 @@
     // would be two replicas of one cell giving out the same cores twice.
     const kinds = ["preview", "batch", "hero", "gang", "service"];
     fc.assert(
-        fc.property(fc.array(inputArb, { minLength: 10, maxLength: 60 }), (steps) => {
+        fc.property(fc.array(stepArbitrary, { minLength: 10, maxLength: 60 }), (steps) => {
             const options = {
                 inventory: buildInventoryFixture({ workers: 3 }),
                 rules: buildRulesFixture(20),
@@ -244,15 +247,15 @@
                 leaseGraceMs: 50,
                 retentionMs: 500,
             };
-            const whole = new Cell(options);
-            let other = new Cell(options);
+            const original = new Cell(options);
+            let restored = new Cell(options);
             const grants: Grant[] = [];
             let at = 0;
             const apply = (input: CellInput): void => {
-                const results = [whole, other].map((cell) => cell.applyInput(input));
+                const results = [original, restored].map((cell) => cell.applyInput(input));
                 t.deepEqual(toPlain(results[1]), toPlain(results[0]));
-                const [effects, same] = [whole.takeEffects(), other.takeEffects()];
-                t.deepEqual(toPlain(same), toPlain(effects));
+                const [effects, restoredEffects] = [original.takeEffects(), restored.takeEffects()];
+                t.deepEqual(toPlain(restoredEffects), toPlain(effects));
                 grants.push(...effects.filter((e): e is Grant => e.type === "grant"));
             };
             for (const instance of options.inventory.instances) {
@@ -262,12 +265,12 @@
             for (const step of steps) {
                 at += step.kind === "leap" ? 200 : 10;
                 const spec = createStepSpec(kinds[step.pick % kinds.length] as string, step.cores);
-                listInputs(step, at, spec, grants, whole).forEach(apply);
+                listInputs(step, at, spec, grants, original).forEach(apply);
                 if (step.isRestored) {
-                    const text = other.encode();
-                    other = new Cell(options);
-                    other.restore(text);
-                    t.is(other.encode(), text);
+                    const text = restored.encode();
+                    restored = new Cell(options);
+                    restored.restore(text);
+                    t.is(restored.encode(), text);
                 }
             }
         }),
@@ -289,7 +292,9 @@
 ): CellInput[] {
     const lease = grants[step.pick % Math.max(1, grants.length)]?.lease;
     const report = { started: "start", completed: "complete", failed: "fail" } as const;
-    const name = (["started", "completed", "failed"] as const).find((r) => report[r] === step.kind);
+    const reportType = (["started", "completed", "failed"] as const).find(
+        (r) => report[r] === step.kind,
+    );
     if (step.kind === "submit") {
         return [{ type: "submit", at, spec }];
     }
@@ -299,9 +304,9 @@
     if (step.kind === "cancel" && lease !== undefined) {
         return [{ type: "cancel", at, request: lease.request }];
     }
-    if (name !== undefined && lease !== undefined) {
+    if (reportType !== undefined && lease !== undefined) {
         const { lease: id, epoch } = lease;
-        return [{ type: "report", at, lease: id, epoch, report: name, detail: "" }];
+        return [{ type: "report", at, lease: id, epoch, report: reportType, detail: "" }];
     }
     return [{ type: "tick", at }];
 }
--- a/cell/types.ts
+++ b/cell/types.ts
@@ -24,7 +24,7 @@
 import type { RulesFile } from "../rules/rules_file.ts";
 
 /** What the stand-in worker is told to do with a task; opaque to the scheduler. */
-export interface WorkOrder {
+export interface WorkloadSpec {
     /** True run time in ms; 0 runs until stopped (a long-running service). */
     readonly runMs: number;
     /** Real use as a share of the declared demand (1 = as declared). */
@@ -34,9 +34,9 @@
 }
 
 /** What the caller of a request that another zone's group handed over begins with. */
-export const ADOPTED_CALLER = "@";
+export const HANDED_OVER_CALLER_PREFIX = "@";
 /** In the time line of such a request: the first group's id of it follows. */
-export const HANDED_OVER_AS = "handed over as ";
+export const HANDED_OVER_DETAIL_PREFIX = "handed over as ";
 
 /** A caller's request. */
 export interface RequestSpec {
@@ -55,11 +55,11 @@
     readonly declaredRunMs: number;
     /** Give up when not started within this many ms; 0 waits for ever. */
     readonly maxWaitMs: number;
-    readonly work: WorkOrder;
+    readonly work: WorkloadSpec;
 }
 
 /** One line of a request's time line. */
-export interface FateEvent {
+export interface RequestEvent {
     /** Time in ms since the epoch. */
     readonly at: number;
     readonly event: string;
@@ -130,7 +130,7 @@
     /** The last reason it could not be placed, told once. */
     blockedBy: string | undefined;
     readonly tasks: TaskRecord[];
-    readonly events: FateEvent[];
+    readonly events: RequestEvent[];
 }
 
 /** A lease of one task to one worker. */
@@ -155,7 +155,7 @@
 }
 
 /** What the cell answers about a request. */
-export interface Answer {
+export interface RequestStatus {
     readonly requestId: RequestId;
     readonly caller: string;
     readonly key: string;
@@ -173,7 +173,7 @@
     readonly endedAt: number | undefined;
     /** For an answer that is not final: when asking again is worth it, in ms. */
     readonly retryAfterMs: number | undefined;
-    readonly events: readonly FateEvent[];
+    readonly events: readonly RequestEvent[];
 }
 
 /** A lease as the worker receives it. */
@@ -186,7 +186,7 @@
     readonly epoch: number;
     readonly demand: Resources;
     readonly ttlMs: number;
-    readonly work: WorkOrder;
+    readonly work: WorkloadSpec;
 }
 
 /** A lease offer on the wire. */
@@ -213,7 +213,7 @@
       }
     /** Another zone's group is to take (or withdraw) a request. */
     | { readonly type: "handOver"; readonly request: RequestId; readonly handOver: HandOver }
-    | { readonly type: "fate"; readonly request: RequestId; readonly event: FateEvent }
+    | { readonly type: "fate"; readonly request: RequestId; readonly event: RequestEvent }
     | {
           readonly type: "started";
           readonly request: RequestId;
@@ -264,7 +264,7 @@
           readonly at: number;
           readonly request: RequestId;
           readonly key: string;
-          readonly answer: HandOverAnswer;
+          readonly answer: HandOverResult;
       }
     /** Rules decided by the configuration group. */
     | { readonly type: "adoptRules"; readonly at: number; readonly rules: RulesFile }
@@ -292,8 +292,8 @@
     | { readonly type: "setRules"; readonly at: number; readonly change: RulesChange };
 
 /** The end of a request in another zone's group. */
-export type HandOverAnswer = Pick<
-    Answer,
+export type HandOverResult = Pick<
+    RequestStatus,
     "requestId" | "state" | "started" | "mayHaveRun" | "startedAt" | "reason"
 >;
 
--- a/cli/demo_command.ts
+++ b/cli/demo_command.ts
@@ -16,7 +16,7 @@
 import { fileURLToPath } from "node:url";
 import { Command, Option } from "clipanion";
 import * as hdr from "hdr-histogram-js";
-import type { Answer } from "../cell/mod.ts";
+import type { RequestStatus } from "../cell/mod.ts";
 import { buildMix } from "../load/mix.ts";
 import { spawnCell } from "../load/cell_runner.ts";
 import { Caller } from "../standin/mod.ts";
@@ -79,7 +79,11 @@
  * @param elapsedMs How long the run took.
  * @returns The summary text.
  */
-export function formatSummary(name: string, answers: readonly Answer[], elapsedMs: number): string {
+export function formatSummary(
+    name: string,
+    answers: readonly RequestStatus[],
+    elapsedMs: number,
+): string {
     const states = new Map<string, number>();
     const waits = new Map<string, hdr.Histogram>();
     for (const answer of answers) {
--- a/entry/_cluster_fixtures.ts
+++ b/entry/_cluster_fixtures.ts
@@ -18,7 +18,7 @@
 import { join } from "node:path";
 import { stringify } from "yaml";
 import { buildRulesFixture, buildSpec } from "../cell/_fixtures.ts";
-import type { Answer, RequestSpec } from "../cell/mod.ts";
+import type { RequestStatus, RequestSpec } from "../cell/mod.ts";
 import { buildInventory } from "../examples/build_examples.ts";
 import { createId, type CustomerId } from "../inventory/mod.ts";
 import { Cluster, type ClusterOptions } from "../load/cluster_runner.ts";
@@ -104,8 +104,10 @@
     readonly #cluster: Cluster;
     readonly #caller: Caller;
     readonly #name: string;
-    readonly #sent: { readonly spec: RequestSpec; readonly answer: Promise<Answer | undefined> }[] =
-        [];
+    readonly #sent: {
+        readonly spec: RequestSpec;
+        readonly answer: Promise<RequestStatus | undefined>;
+    }[] = [];
     #timer: NodeJS.Timeout | undefined;
 
     /**
@@ -172,7 +174,10 @@
      * @param isCancelled Whether to cancel the request as soon as it is accepted.
      * @returns The first answer, or `undefined` if the call failed or timed out.
      */
-    submit(overrides: Partial<RequestSpec>, isCancelled = false): Promise<Answer | undefined> {
+    submit(
+        overrides: Partial<RequestSpec>,
+        isCancelled = false,
+    ): Promise<RequestStatus | undefined> {
         const spec = buildSpec({
             caller: this.#name,
             customer: createId<CustomerId>("team-1"),
@@ -191,7 +196,7 @@
      *
      * @returns The final answers.
      */
-    async waitAll(): Promise<Answer[]> {
+    async waitAll(): Promise<RequestStatus[]> {
         const deadline = Date.now() + SETTLE_TIMEOUT_MS;
         return Promise.all(
             this.#sent.map(async ({ spec, answer }) => {
@@ -206,7 +211,7 @@
      *
      * @returns The final answers, and one line per violated guarantee.
      */
-    async audit(): Promise<{ readonly answers: Answer[]; readonly violations: string[] }> {
+    async audit(): Promise<{ readonly answers: RequestStatus[]; readonly violations: string[] }> {
         this.stop();
         const answers = await this.waitAll();
         return { answers, violations: auditAnswers(this.#cluster, answers) };
@@ -220,7 +225,7 @@
  * @param answers The final answers that callers received.
  * @returns One line per violated guarantee.
  */
-export function auditAnswers(cluster: Cluster, answers: readonly Answer[]): string[] {
+export function auditAnswers(cluster: Cluster, answers: readonly RequestStatus[]): string[] {
     const kinds = new Map(buildRulesFile().kinds.map((k) => [k.name, k]));
     const timeline = cluster.loadTimeline();
     const instances = new Set(timeline.flatMap((e) => (e["instance"] as string) ?? []));
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -16,7 +16,7 @@
 
 import { interval, type Subscription } from "rxjs";
 import type { Logger } from "winston";
-import type { Answer, Cell } from "../cell/mod.ts";
+import type { RequestStatus, Cell } from "../cell/mod.ts";
 import {
     createId,
     type CustomerId,
@@ -296,19 +296,19 @@
      * Returns a request's state. Final states never change, so any replica can return them; other
      * states come from the leader, because a replica may lag.
      */
-    async #getAnswer(params: unknown): Promise<Answer> {
+    async #getAnswer(params: unknown): Promise<RequestStatus> {
         const local = this.#findLocalAnswer(params);
         if (local?.final === true) {
             return local;
         }
-        return (await this.#routeRequest("request.fate", params)) as Answer;
+        return (await this.#routeRequest("request.fate", params)) as RequestStatus;
     }
 
     /**
      * Waits until the request is final or the timeout elapses. The local replica wakes the wait, so
      * that the leader need not hold every caller's connection.
      */
-    async #waitAnswer(params: unknown): Promise<Answer> {
+    async #waitAnswer(params: unknown): Promise<RequestStatus> {
         const { timeoutMs } = parseParams(requestRefSchema, params);
         const deadline = performance.now() + timeoutMs;
         const current = this.#findLocalAnswer(params) ?? (await this.#getAnswer(params));
@@ -328,25 +328,25 @@
      * Waits for a request whose group has no local replica, by long polling its leader, which
      * avoids transferring the request's whole history repeatedly.
      */
-    async #pollAnswer(id: RequestId, deadline: number): Promise<Answer> {
+    async #pollAnswer(id: RequestId, deadline: number): Promise<RequestStatus> {
         for (;;) {
             const remainingMs = Math.max(0, deadline - performance.now());
             const timeoutMs = this.#isAccepting ? Math.min(remainingMs, MAX_FORWARDED_WAIT_MS) : 0;
             const params = { requestId: id, timeoutMs };
-            const answer = (await this.#routeRequest("request.wait", params)) as Answer;
+            const answer = (await this.#routeRequest("request.wait", params)) as RequestStatus;
             if (answer.final || timeoutMs === 0) {
                 return answer;
             }
         }
     }
 
-    #findLocalAnswer(params: unknown): Answer | undefined {
+    #findLocalAnswer(params: unknown): RequestStatus | undefined {
         const ref = parseParams(requestRefSchema, params);
         for (const zone of this.#zones.values()) {
             const id =
                 ref.requestId !== undefined
                     ? createId<RequestId>(ref.requestId)
-                    : zone.cell.findByKey(ref.caller ?? "", ref.key ?? "");
+                    : zone.cell.findRequestIdByKey(ref.caller ?? "", ref.key ?? "");
             const answer = id === undefined ? undefined : zone.cell.describeRequest(id);
             if (answer !== undefined) {
                 return answer;
@@ -503,7 +503,7 @@
         return this.#router.route(group, "zone.adopt", params) as Promise<AdoptAnswer[]>;
     }
 
-    async #waitLocal(cell: Cell, params: unknown): Promise<Answer | undefined> {
+    async #waitLocal(cell: Cell, params: unknown): Promise<RequestStatus | undefined> {
         const id = findRequest(cell, params);
         const { timeoutMs } = parseParams(requestRefSchema, params);
         const isFinal = (): boolean => cell.describeRequest(id)?.final ?? false;
@@ -631,7 +631,7 @@
     const id =
         ref.requestId !== undefined
             ? createId<RequestId>(ref.requestId)
-            : cell.findByKey(ref.caller ?? "", ref.key ?? "");
+            : cell.findRequestIdByKey(ref.caller ?? "", ref.key ?? "");
     if (id === undefined || cell.describeRequest(id) === undefined) {
         throw createNotFoundError();
     }
--- a/entry/entry_test.ts
+++ b/entry/entry_test.ts
@@ -45,7 +45,7 @@
     t.is(fate.state, "completed");
     const describe = (e: EntryInstance): unknown =>
         e.cell
-            .listRequests()
+            .listRequestIds()
             .map((id) => [
                 id,
                 e.cell.describeRequest(id)?.state,
--- a/entry/hand_over_agent.ts
+++ b/entry/hand_over_agent.ts
@@ -13,12 +13,12 @@
  */
 
 import {
-    ADOPTED_CALLER,
+    HANDED_OVER_CALLER_PREFIX,
     type Cell,
     type CellInput,
     type Effect,
     type HandOver,
-    type HandOverAnswer,
+    type HandOverResult,
     type RequestSpec,
 } from "../cell/mod.ts";
 import type { RequestId } from "../inventory/mod.ts";
@@ -36,7 +36,7 @@
  * State of a request in the other group: `unknown` for an unknown key without a spec, `open` until
  * the request is final, then the full result.
  */
-export type AdoptAnswer = "unknown" | "open" | HandOverAnswer;
+export type AdoptAnswer = "unknown" | "open" | HandOverResult;
 
 /** Free capacity of another group. */
 export interface GroupCapacity {
@@ -130,7 +130,10 @@
 
     #startHandOvers(at: number): void {
         const assignedCores = new Map<GroupId, number>();
-        for (const request of this.#options.cell.listWaiting(at, MAX_HAND_OVERS_PER_ROUND)) {
+        for (const request of this.#options.cell.listHandOverCandidates(
+            at,
+            MAX_HAND_OVERS_PER_ROUND,
+        )) {
             const { service, demand, count } = request.spec;
             const cores = demand.cores * count;
             const target = this.#options
@@ -193,14 +196,14 @@
                     ? undefined
                     : {
                           ...spec,
-                          caller: `${ADOPTED_CALLER}${this.#options.group}`,
+                          caller: `${HANDED_OVER_CALLER_PREFIX}${this.#options.group}`,
                           key,
                           maxWaitMs: ADOPTED_MAX_WAIT_MS,
                       },
         };
     }
 
-    #handleResult(request: RequestId, key: string, answer: HandOverAnswer): void {
+    #handleResult(request: RequestId, key: string, answer: HandOverResult): void {
         this.#options
             .propose((at) => ({ type: "handOverResult", at, request, key, answer }))
             .then(() => {
--- a/entry/status.ts
+++ b/entry/status.ts
@@ -98,7 +98,7 @@
     const heldCores = workers.reduce((sum, w) => sum + w.held.cores, 0);
     const totalCores = workers.reduce((sum, w) => sum + w.instance.capacity.cores, 0);
     const requests: Record<string, number> = {};
-    for (const [state, count] of cells.flatMap((c) => [...c.computeStates()])) {
+    for (const [state, count] of cells.flatMap((c) => [...c.countRequestsByState()])) {
         requests[state] = (requests[state] ?? 0) + count;
     }
     return {
--- a/entry/zone_group.ts
+++ b/entry/zone_group.ts
@@ -14,10 +14,10 @@
 
 import { interval, type Subscription } from "rxjs";
 import {
-    ADOPTED_CALLER,
+    HANDED_OVER_CALLER_PREFIX,
     Cell,
     KeyConflictError,
-    type Answer,
+    type RequestStatus,
     type CellInput,
     type CellOptions,
     type Effect,
@@ -122,7 +122,7 @@
             inventory: createGroupInventory(options.inventory, group),
             idPrefix: createIdPrefix(layout, group),
             quotaShare: group.quotaShare,
-            elsewhere: layout.groups
+            otherZoneWorkers: layout.groups
                 .filter((other) => other.id !== group.id)
                 .map((other) => createWorkerStates(options.inventory, other)),
         });
@@ -182,8 +182,8 @@
      * @param spec The request.
      * @returns The request's state after the commit.
      */
-    async submit(spec: RequestSpec): Promise<Answer> {
-        return (await this.#propose((at) => ({ type: "submit", at, spec }))) as Answer;
+    async submit(spec: RequestSpec): Promise<RequestStatus> {
+        return (await this.#propose((at) => ({ type: "submit", at, spec }))) as RequestStatus;
     }
 
     /**
@@ -192,9 +192,9 @@
      * @param request The request.
      * @returns The answer, or `undefined` for an unknown id.
      */
-    async cancel(request: RequestId): Promise<Answer | undefined> {
+    async cancel(request: RequestId): Promise<RequestStatus | undefined> {
         return (await this.#propose((at) => ({ type: "cancel", at, request }))) as
-            Answer | undefined;
+            RequestStatus | undefined;
     }
 
     /**
@@ -220,7 +220,10 @@
     }
 
     async #adoptItem(from: GroupId, item: AdoptItem): Promise<AdoptAnswer> {
-        const knownRequest = this.cell.findByKey(`${ADOPTED_CALLER}${from}`, item.key);
+        const knownRequest = this.cell.findRequestIdByKey(
+            `${HANDED_OVER_CALLER_PREFIX}${from}`,
+            item.key,
+        );
         if (knownRequest === undefined && item.spec === undefined) {
             return "unknown";
         }
@@ -324,7 +327,7 @@
         await Promise.all(proposals);
         beats.forEach((beat) => this.#dispatcher.recordHeartbeat(beat.instance, beat.sentAt));
         this.#dispatcher.sendDeferred();
-        const ended = beats.flatMap((beat) => this.cell.listToStop(beat.leases));
+        const ended = beats.flatMap((beat) => this.cell.listLeasesToStop(beat.leases));
         return { announce, ended };
     }
 
@@ -380,7 +383,7 @@
     }
 
     #startLeading(): void {
-        this.#clock.start(this.cell.lastAt);
+        this.#clock.start(this.cell.lastInputAt);
         this.#options.log.info("became leader", {
             group: this.#options.group.id,
             term: this.member.replica.term,
--- a/load/run_load.ts
+++ b/load/run_load.ts
@@ -19,7 +19,7 @@
 import { fileURLToPath } from "node:url";
 import * as hdr from "hdr-histogram-js";
 import { parse, stringify } from "yaml";
-import type { Answer } from "../cell/mod.ts";
+import type { RequestStatus } from "../cell/mod.ts";
 import { buildInventory } from "../examples/build_examples.ts";
 import { Caller } from "../standin/mod.ts";
 import { spawnCell, type SpawnedCell } from "./cell_runner.ts";
@@ -204,7 +204,7 @@
             `${experiment.name}: ${Math.round((Date.now() - started) / 1_000)} s, ${accepted.length}/${total} sent`,
         );
     }, 1_000);
-    const accepted: Promise<Answer>[] = [];
+    const accepted: Promise<RequestStatus>[] = [];
     let random = experiment.seed;
     await new Promise<void>((resolve) => {
         const sender = setInterval(() => {
@@ -291,7 +291,7 @@
     return new Map(rules.kinds.map((k) => [k.name, k.class]));
 }
 
-function computeStates(answers: readonly Answer[]): Record<string, number> {
+function computeStates(answers: readonly RequestStatus[]): Record<string, number> {
     const states: Record<string, number> = {};
     for (const answer of answers) {
         states[answer.state] = (states[answer.state] ?? 0) + 1;
@@ -300,7 +300,7 @@
 }
 
 function summarizeWaits(
-    answers: readonly Answer[],
+    answers: readonly RequestStatus[],
     classes: ReadonlyMap<string, string>,
 ): Record<string, WaitFigures> {
     const histograms = new Map<string, hdr.Histogram>();
--- a/reference/differential_test.ts
+++ b/reference/differential_test.ts
@@ -6,7 +6,7 @@
     buildRulesFixture,
     buildSpec,
 } from "../cell/_fixtures.ts";
-import { listViolations } from "../cell/_invariants.ts";
+import { listInvariantViolations } from "../cell/_invariants.ts";
 import type { Effect } from "../cell/mod.ts";
 import type { LeaseId } from "../inventory/mod.ts";
 import { ReferenceScheduler } from "./reference.ts";
@@ -65,7 +65,7 @@
                     now += 200;
                     cell.tick(now);
                 } else if (op.op === "cancel") {
-                    const ids = cell.listRequests();
+                    const ids = cell.listRequestIds();
                     const id = ids[op.pick % Math.max(1, ids.length)];
                     if (id !== undefined) {
                         cell.cancel(id, now);
@@ -94,7 +94,7 @@
                         offered.push(effect);
                     }
                 }
-                const violations = listViolations(cell, started);
+                const violations = listInvariantViolations(cell, started);
                 if (violations.length > 0) {
                     t.log(violations);
                     return false;
@@ -139,7 +139,7 @@
                 const cellRefused = new Set(
                     answers.flatMap((a, i) => (a.state === "refused" ? [i] : [])),
                 );
-                const violations = listViolations(cell, new Set());
+                const violations = listInvariantViolations(cell, new Set());
                 return (
                     violations.length === 0 &&
                     [...reference.refused].every((i) => cellRefused.has(i)) &&
--- a/standin/caller.ts
+++ b/standin/caller.ts
@@ -12,7 +12,7 @@
  * @module
  */
 
-import type { Answer, RequestSpec } from "../cell/mod.ts";
+import type { RequestStatus, RequestSpec } from "../cell/mod.ts";
 import type { RulesChange, RulesChangeResult } from "../rules/mod.ts";
 import { EntryClient, parseEntries } from "./entry_client.ts";
 
@@ -50,7 +50,7 @@
      * @returns The cell's answer.
      * @throws {RpcError} When the cell refused the call (bad params, key reuse) or never answered.
      */
-    submit(spec: RequestSpec): Promise<Answer> {
+    submit(spec: RequestSpec): Promise<RequestStatus> {
         return this.#client.sendUntil("request.submit", { spec }, Date.now() + this.#resendMs);
     }
 
@@ -60,7 +60,7 @@
      * @param requestId The request.
      * @returns The answer.
      */
-    cancel(requestId: string): Promise<Answer> {
+    cancel(requestId: string): Promise<RequestStatus> {
         return this.#client.sendUntil("request.cancel", { requestId }, Date.now() + this.#resendMs);
     }
 
@@ -82,7 +82,7 @@
      * @returns The last answer.
      * @throws {RpcError} When no entry instance answers any more.
      */
-    async waitFinal(requestId: string, until: number): Promise<Answer> {
+    async waitFinal(requestId: string, until: number): Promise<RequestStatus> {
         for (;;) {
             const timeoutMs = Math.max(0, Math.min(WAIT_MS, until - Date.now()));
             const answer = await this.#waitOnce(requestId, timeoutMs, until);
@@ -98,7 +98,7 @@
      * @param specs The requests.
      * @returns Their last answers, in order.
      */
-    async runAll(specs: readonly RequestSpec[]): Promise<Answer[]> {
+    async runAll(specs: readonly RequestSpec[]): Promise<RequestStatus[]> {
         const accepted = await Promise.all(specs.map((spec) => this.submit(spec)));
         const until = Date.now() + this.#deadlineMs;
         return Promise.all(accepted.map((a) => this.waitFinal(a.requestId, until)));
@@ -109,16 +109,20 @@
         return this.#client.bytes;
     }
 
-    async #waitOnce(requestId: string, timeoutMs: number, until: number): Promise<Answer> {
+    async #waitOnce(requestId: string, timeoutMs: number, until: number): Promise<RequestStatus> {
         const params = { requestId, timeoutMs };
         try {
-            return await this.#client.send<Answer>("request.wait", params, timeoutMs + 3_000);
+            return await this.#client.send<RequestStatus>(
+                "request.wait",
+                params,
+                timeoutMs + 3_000,
+            );
         } catch (error) {
             if (Date.now() >= until) {
                 throw error;
             }
             await new Promise((resolve) => setTimeout(resolve, 200));
-            return this.#client.sendUntil<Answer>("request.fate", { requestId }, until);
+            return this.#client.sendUntil<RequestStatus>("request.fate", { requestId }, until);
         }
     }
 }
