--- a/cell/_cell_state.ts
+++ b/cell/_cell_state.ts
@@ -1,12 +1,11 @@
 /**
- * The cell's books: every record, the rules in force, counters and pending effects, with the
- * lookups and the sums that must stay right whoever changes a record.
+ * The state of a cell: all records, the rules in force, counters and pending effects.
  *
  * @example
  * ```ts
- * import { Books } from "./_cell_state.ts";
- * const books = new Books(options);
- * books.recordFate(request, at, "accepted", "preview x1");
+ * import { CellState } from "./_cell_state.ts";
+ * const state = new CellState(options);
+ * state.recordEvent(request, nowMs, "accepted", "preview x1");
  * ```
  *
  * @module
@@ -39,35 +38,35 @@
 export interface CellOptions {
     readonly inventory: Inventory;
     readonly rules: Rules;
-    /** Put before every request and lease id, so that ids of different cells never meet. */
+    /** Prefix of every request and lease id; makes ids unique across cells. */
     readonly idPrefix?: string;
-    /** The part of each customer's quota that this cell may give out, from 0 to 1. */
+    /** The fraction of each customer's quota that this cell may allocate, from 0 to 1. */
     readonly quotaShare?: number;
-    /** A lease lives this long without a renewal, in ms. The worker stops its task after it. */
+    /** Time to live of a lease without a renewal, in ms; the worker stops its task after it. */
     readonly leaseTtlMs?: number;
     /**
-     * Extra wait past the time to live before the cell counts a lease lost, in ms. It covers
-     * clock drift and a late heartbeat, so that the worker has stopped the task by then.
+     * Grace period after the time to live before the cell expires a lease, in ms. It covers clock
+     * drift and late heartbeats, so that the worker has stopped the task by then.
      */
     readonly leaseGraceMs?: number;
-    /** Leases an idempotent request may be offered before it fails. */
+    /** Maximum number of attempts of an idempotent request before it fails. */
     readonly maxAttempts?: number;
-    /** Failed tasks in a row after which a worker gets no work for a while. */
+    /** Consecutive task failures after which a worker is quarantined. */
     readonly quarantineAfterFailures?: number;
-    /** How long a quarantine lasts, in ms. */
+    /** Duration of a quarantine, in ms. */
     readonly quarantineMs?: number;
-    /** The most placements one tick decides. */
+    /** Maximum number of placement attempts per tick. */
     readonly maxPlacementsPerTick?: number;
-    /** An attempt that ran at least this long does not count towards the most attempts, in ms. */
+    /** Run time in ms after which an attempt resets the request's attempt counter. */
     readonly attemptResetMs?: number;
     /**
-     * The instances of the other zones' groups, one list per group: what fits there is not
-     * refused here, because it can be handed over.
+     * The workers of the other zones' groups, one list per group. A request that fits on one of
+     * them is not refused, because it can be handed over.
      */
     readonly otherZoneWorkers?: readonly (readonly WorkerState[])[];
-    /** How long an ended request keeps its whole time line, in ms. */
+    /** How long an ended request keeps its full event history, in ms. */
     readonly retentionMs?: number;
-    /** How long its idempotency key and end state are kept after that, in ms. */
+    /** How long the idempotency key and end state are kept after that, in ms. */
     readonly keyRetentionMs?: number;
 }
 
@@ -88,10 +87,10 @@
     keyRetentionMs: 30 * DAY_MS,
 };
 
-/** Options with every default filled in. */
+/** Cell options with defaults applied. */
 export type ResolvedOptions = typeof DEFAULT_OPTIONS;
 
-/** Counters that the entry process turns into metrics. */
+/** Counters that the entry process exports as metrics. */
 export interface CellCounters {
     placements: number;
     preemptions: number;
@@ -100,29 +99,29 @@
     expiries: number;
 }
 
-/** What the rules say of a kind, with its class. */
+/** The rule of a request kind together with its precedence class. */
 export interface KindPolicy {
     readonly rule: KindRule;
     readonly kindClass: PrecedenceClass;
 }
 
-/** The cell's records. */
+/** Holds the cell's records and the indexes and sums derived from them. */
 export class CellState {
     readonly options: ResolvedOptions;
     readonly inventory: Inventory;
     readonly rulesStore: RulesBook;
-    /** Kinds that a change dropped while requests of them had not ended. */
+    /** Kinds that a rules change removed while requests of that kind were unfinished. */
     readonly retiredKinds = new Map<string, KindPolicy>();
     readonly workers = new Map<InstanceId, WorkerState>();
     readonly workerList: WorkerState[] = [];
     readonly requests = new Map<RequestId, RequestRecord>();
     readonly requestIdsByKey = new Map<string, RequestId>();
-    /** What is kept of requests whose time line was dropped. */
+    /** Summaries of ended requests whose event history was removed. */
     readonly tombstones = new Map<RequestId, Tombstone>();
-    /** Ended requests, oldest end first. */
+    /** Ended requests, oldest first. */
     readonly endedRequestIds: RequestId[] = [];
     readonly leases = new Map<LeaseId, LeaseRecord>();
-    /** Leases that hold resources; the tick looks at these only, not at the whole history. */
+    /** Leases that hold resources; lets a tick skip the ended ones. */
     readonly liveLeases = new Set<LeaseId>();
     queue = new RequestQueue();
     readonly customerCores = new Map<CustomerId, number>();
@@ -135,11 +134,11 @@
     };
     nextSeq = 1;
     nextEpoch = 1;
-    /** Requests in the care of another zone's group. */
+    /** Requests that another zone's group currently handles. */
     readonly handedOverIds = new Set<RequestId>();
-    /** The time of the newest input; the next leader's clock starts from it. */
+    /** The time of the newest input; a new leader's clock continues from it. */
     lastInputAt = 0;
-    /** Something changed that may let a queued request be placed. */
+    /** Whether a change since the last tick may allow a queued request to be placed. */
     isPlacementDue = false;
     #effects: Effect[] = [];
 
@@ -163,7 +162,7 @@
     }
 
     /**
-     * Queues an effect.
+     * Queues an effect for the surrounding process.
      *
      * @param effect The effect.
      */
@@ -183,10 +182,10 @@
     }
 
     /**
-     * Finds what the rules say of a kind, in force or retired.
+     * Finds the policy of a kind, including kinds that a rules change removed.
      *
      * @param kind The kind.
-     * @returns The policy, or `undefined`.
+     * @returns The policy, or `undefined` for an unknown kind.
      */
     findKindPolicy(kind: string): KindPolicy | undefined {
         const rule = getKindRule(this.rules, kind);
@@ -196,11 +195,11 @@
     }
 
     /**
-     * Gives what the rules say of a request's kind.
+     * Returns the policy of a request's kind.
      *
      * @param request An accepted request.
      * @returns The policy.
-     * @throws {Error} When the kind was lost (retired kinds prevent it).
+     * @throws {Error} When no policy exists; retired kinds prevent this.
      */
     getKindPolicy(request: RequestRecord): KindPolicy {
         const policy = this.findKindPolicy(request.spec.kind);
@@ -211,7 +210,7 @@
     }
 
     /**
-     * Tells whether a request may be leased again after a lease that may have started it.
+     * Reports whether a request may be leased again after an attempt that may have started.
      *
      * @param request The request.
      * @returns True for an idempotent request with attempts left.
@@ -227,7 +226,7 @@
     }
 
     /**
-     * Gives the cores that a customer may hold in this cell.
+     * Returns the cores that a customer may hold in this cell.
      *
      * @param customer The customer.
      * @returns The cores, or `undefined` without a quota.
@@ -238,11 +237,11 @@
     }
 
     /**
-     * Changes what a lease counts against its worker.
+     * Replaces the resources that a lease reserves on its worker.
      *
      * @param worker The lease's worker.
      * @param lease The lease.
-     * @param held What it holds from now on.
+     * @param held The resources it holds from now on.
      */
     setHeldResources(worker: WorkerState, lease: LeaseRecord, held: Resources): void {
         worker.held = addResources(removeResources(worker.held, lease.held), held);
@@ -250,17 +249,17 @@
     }
 
     /**
-     * Changes what a customer holds.
+     * Adjusts the number of cores that a customer holds.
      *
      * @param customer The customer.
-     * @param cores Cores to add; negative to give back.
+     * @param cores The cores to add; negative to release.
      */
     addCustomerCores(customer: CustomerId, cores: number): void {
         this.customerCores.set(customer, (this.customerCores.get(customer) ?? 0) + cores);
     }
 
     /**
-     * Puts a request in the queue by its class's precedence.
+     * Enqueues a request with the precedence of its class.
      *
      * @param request The request.
      */
@@ -271,7 +270,7 @@
     }
 
     /**
-     * Notes that a request ended, for retention.
+     * Records that a request ended, for retention.
      *
      * @param request The request.
      */
@@ -280,11 +279,10 @@
     }
 
     /**
-     * Drops the time lines of requests that ended long ago, and much later their keys. Without
-     * it a day of 14,000 jobs would add 38 MB for ever. The end state and the idempotency key
-     * stay for a month: a resend must not run a billed batch again.
+     * Removes the event history of requests past their retention, and later their idempotency keys.
+     * The end state and key are kept longer, so that a resend does not run a request again.
      *
-     * @param nowMs The time in ms.
+     * @param nowMs The current time in ms.
      */
     removeExpiredRequests(nowMs: number): void {
         const { retentionMs, keyRetentionMs } = this.options;
@@ -320,12 +318,12 @@
     }
 
     /**
-     * Adds a line to a request's time line.
+     * Appends an event to a request's history.
      *
      * @param request The request.
-     * @param nowMs The time in ms.
-     * @param event What happened.
-     * @param detail In words.
+     * @param nowMs The current time in ms.
+     * @param event The event's name.
+     * @param detail A description for people.
      */
     recordEvent(request: RequestRecord, nowMs: number, event: string, detail: string): void {
         const entry = { at: nowMs, event, detail };
@@ -334,9 +332,9 @@
     }
 
     /**
-     * Looks up a request that must exist.
+     * Returns a request that must exist.
      *
-     * @param id Its id.
+     * @param id The request's id.
      * @returns The request.
      */
     getRequest(id: RequestId): RequestRecord {
@@ -348,9 +346,9 @@
     }
 
     /**
-     * Looks up a worker that must exist.
+     * Returns a worker that must exist.
      *
-     * @param id Its instance's id.
+     * @param id The id of its instance.
      * @returns The worker.
      */
     getWorker(id: InstanceId): WorkerState {
@@ -362,7 +360,7 @@
     }
 }
 
-/** What is kept of a request whose time line was dropped. */
+/** The summary of an ended request whose event history was removed. */
 export interface Tombstone {
     readonly id: RequestId;
     readonly caller: string;
@@ -380,18 +378,18 @@
 }
 
 /**
- * Gives the map key of a caller's idempotency key.
+ * Creates the map key for a caller's idempotency key.
  *
  * @param caller The caller.
- * @param key Its key.
- * @returns Both, joined so that no two pairs give the same text.
+ * @param key The caller's idempotency key.
+ * @returns An unambiguous combination of both.
  */
 export function createCallerKey(caller: string, key: string): string {
     return `${caller}\u0000${key}`;
 }
 
 /**
- * Hashes a request's contents, to tell a resend from a reused key.
+ * Hashes a request's contents, to distinguish a resend from a reused key.
  *
  * @param spec The request.
  * @returns A hex digest.
--- a/cell/_fixtures.ts
+++ b/cell/_fixtures.ts
@@ -1,6 +1,5 @@
 /**
- * Fixtures for tests and benchmarks, built by functions: a small inventory, rules like the
- * examples', and request specs with defaults.
+ * Builders of test and benchmark data: a small inventory, rules, request specs and cells.
  *
  * @example
  * ```ts
@@ -26,7 +25,7 @@
 import { Cell, type CellOptions } from "./cell.ts";
 import type { RequestSpec } from "./types.ts";
 
-/** The service of the fixtures. */
+/** The only service in the inventory fixture. */
 export const FIXTURE_SERVICE = createId<ServiceId>("studio-intake");
 
 /** Options of {@link buildInventoryFixture}. */
@@ -40,9 +39,10 @@
 }
 
 /**
- * Builds an inventory of equal workers spread over zones and racks.
+ * Builds an inventory of equal workers spread over availability zones and racks.
  *
- * @param options Sizes; defaults 4 workers of 16 cores, 32 GiB, 8 slots, 3 zones, 8 a rack.
+ * @param options Sizes; defaults to 4 workers with 16 cores, 32 GiB and 8 slots each, in 3 zones
+ * with up to 8 workers a rack.
  * @returns The inventory.
  */
 export function buildInventoryFixture(options: InventoryFixtureOptions = {}): Inventory {
@@ -81,10 +81,10 @@
 }
 
 /**
- * Builds rules with one kind per policy: preview (latency), batch (packing, at most once),
- * hero (packing, preemptible), gang, service (spread), reel (at most once).
+ * Builds rules with the kinds preview (latency), batch and reel (packing, at most once), hero
+ * (packing, preemptible), gang (gang, preemptible) and service (spread).
  *
- * @param quotaCores A quota for customer `acme`, or none.
+ * @param quotaCores The quota of customer `acme` in cores; no quota if omitted.
  * @returns The rules.
  */
 export function buildRulesFixture(quotaCores?: number): Rules {
@@ -111,9 +111,9 @@
 let keySeq = 0;
 
 /**
- * Builds a request spec; every call gets a new idempotency key unless one is given.
+ * Builds a request spec with a new idempotency key unless one is given.
  *
- * @param overrides Fields to set.
+ * @param overrides The fields to override.
  * @returns The spec.
  */
 export function buildSpec(overrides: Partial<RequestSpec> = {}): RequestSpec {
@@ -134,9 +134,9 @@
 }
 
 /**
- * Builds a cell over a fixture inventory with every worker announced at time 0.
+ * Builds a cell whose workers are all announced at time 0.
  *
- * @param options Inventory sizes, plus cell options.
+ * @param options Inventory sizes and cell options.
  * @returns The cell.
  */
 export function buildCell(
--- a/cell/_hand_over_manager.ts
+++ b/cell/_hand_over_manager.ts
@@ -1,12 +1,13 @@
 /**
- * Requests that this cell's workers have no room for and another zone's group takes. The intent
- * is in this cell's log before the other group hears of it, and the request comes back only when
- * that group says, as an end state, that it never ran: so it is never in two zones' hands.
+ * Hands over requests that this cell has no capacity for to another zone's group. The hand-over is
+ * in this cell's log before the other group receives the request, and the request returns to the
+ * queue only after that group has reported an end state, so that it never runs in two zones at
+ * once.
  *
  * @example
  * ```ts
- * import { HandOvers } from "./_hand_over_manager.ts";
- * new HandOvers(books, lifecycle).startHandOver(request, "hall-b", at);
+ * import { HandOverManager } from "./_hand_over_manager.ts";
+ * new HandOverManager(state, lifecycle).startHandOver(id, "zone-b", nowMs);
  * ```
  *
  * @module
@@ -17,20 +18,20 @@
 import type { Lifecycle } from "./_lifecycle.ts";
 import { HANDED_OVER_CALLER_PREFIX, type HandOverResult, type RequestRecord } from "./types.ts";
 
-/** A request waits this long for a worker of its own zone first, in ms. */
+/** Time that a request waits for a worker of its own zone before its first hand-over, in ms. */
 const INITIAL_WAIT_MS = 100;
-/** After the first return it waits this long, in ms, and twice as long after each further one. */
+/** Wait after the first return, in ms; doubles with each further return. */
 const BACKOFF_BASE_MS = 1_000;
 const BACKOFF_MAX_MS = 30_000;
 
-/** Hands requests over and takes them back. */
+/** Hands requests over and processes their results. */
 export class HandOverManager {
     readonly #state: CellState;
     readonly #lifecycle: Lifecycle;
 
     /**
-     * @param state The cell's books.
-     * @param lifecycle Moves requests.
+     * @param state The cell's state.
+     * @param lifecycle Applies request state transitions.
      */
     constructor(state: CellState, lifecycle: Lifecycle) {
         this.#state = state;
@@ -40,8 +41,8 @@
     /**
      * Lists queued requests that may be handed over.
      *
-     * @param nowMs The time in ms.
-     * @param limit The most to list.
+     * @param nowMs The current time in ms.
+     * @param limit The maximum number of requests to list.
      * @returns The requests, highest precedence first.
      */
     listCandidates(nowMs: number, limit: number): RequestRecord[] {
@@ -52,7 +53,8 @@
                     return candidates;
                 }
                 const waitMs = computeBackoffMs(request.handOvers);
-                // One that was handed over to us is not passed on: it could go in circles.
+                // A request received from another zone is not handed over again, which prevents
+                // loops.
                 const isHandedOver = request.spec.caller.startsWith(HANDED_OVER_CALLER_PREFIX);
                 if (!isHandedOver && nowMs - request.queuedAt >= waitMs) {
                     candidates.push(request);
@@ -65,9 +67,9 @@
     /**
      * Hands a queued request over.
      *
-     * @param id The request.
-     * @param to The other group.
-     * @param nowMs The time in ms.
+     * @param id The request's id.
+     * @param to The group that receives it.
+     * @param nowMs The current time in ms.
      */
     startHandOver(id: RequestId, to: string, nowMs: number): void {
         const request = this.#state.requests.get(id);
@@ -83,10 +85,10 @@
     }
 
     /**
-     * Withdraws a request that another group has; that group's answer ends it.
+     * Asks the other group to cancel a request; the result from that group ends it.
      *
      * @param request The request.
-     * @param nowMs The time in ms.
+     * @param nowMs The current time in ms.
      */
     cancel(request: RequestRecord, nowMs: number): void {
         if (request.handedTo === undefined || request.handedTo.isCancelled) {
@@ -98,12 +100,12 @@
     }
 
     /**
-     * Takes the other group's end state.
+     * Processes the end state that the other group reported.
      *
-     * @param id The request.
-     * @param key Its key there; an answer about an earlier hand-over is ignored.
+     * @param id The request's id.
+     * @param key Its idempotency key in the other group; results of earlier hand-overs are ignored.
      * @param result The end state.
-     * @param nowMs The time in ms.
+     * @param nowMs The current time in ms.
      */
     handleResult(id: RequestId, key: string, result: HandOverResult, nowMs: number): void {
         const request = this.#state.requests.get(id);
@@ -114,7 +116,7 @@
         request.handedTo = undefined;
         this.#state.handedOverIds.delete(id);
         const handledBy = `${to} (${result.requestId})`;
-        // Idempotent work that failed there may be tried again here: every lease there has ended.
+        // Failed idempotent work can be retried here, since all of its leases there have ended.
         const isRetry = result.state === "failed" && this.#state.isRetryable(request);
         if (!isCancelled && (!result.mayHaveRun || isRetry)) {
             request.mayHaveRunBefore ||= result.mayHaveRun;
@@ -140,7 +142,7 @@
         this.#lifecycle.applyRequestEvent(request, event, nowMs, reason);
     }
 
-    /** Tells again of every request in another group's care: a new leader takes over. */
+    /** Emits every pending hand-over again after a change of leader. */
     emitPending(): void {
         for (const id of this.#state.handedOverIds) {
             this.#emitHandOver(this.#state.getRequest(id));
@@ -159,8 +161,8 @@
 }
 
 /**
- * Work that comes back, because the other zone's room or its share of the quota was gone, must not
- * circle: at 400 requests/s against a quota, a fixed second between tries cost megabytes a second.
+ * Computes the wait before the next hand-over. The exponential backoff limits how often a request
+ * that other zones keep returning is handed over.
  */
 function computeBackoffMs(handOvers: number): number {
     return handOvers === 0
--- a/cell/_invariants.ts
+++ b/cell/_invariants.ts
@@ -1,11 +1,10 @@
 /**
- * The brief's invariants as checks over a cell's books, shared by the property, differential
- * and failure tests.
+ * Invariant checks on a cell's records, shared by the tests.
  *
  * @example
  * ```ts
- * import { listViolations } from "./_invariants.ts";
- * assert.deepEqual(listViolations(cell, startedLeases), []);
+ * import { listInvariantViolations } from "./_invariants.ts";
+ * assert.deepEqual(listInvariantViolations(cell, startedLeases), []);
  * ```
  *
  * @module
@@ -17,11 +16,11 @@
 const LIVE_STATES = new Set(["offered", "active"]);
 
 /**
- * Lists every invariant the cell breaks now.
+ * Lists the invariants that a cell currently violates.
  *
  * @param cell The cell.
- * @param started Leases that a worker really started (the workers' side of the books).
- * @returns One line per violation; empty when all hold.
+ * @param started The leases that the workers actually started.
+ * @returns One line per violation.
  */
 export function listInvariantViolations(cell: Cell, started: ReadonlySet<LeaseId>): string[] {
     const violations: string[] = [];
--- a/cell/_lease_manager.ts
+++ b/cell/_lease_manager.ts
@@ -1,13 +1,12 @@
 /**
- * The cell's leases while they live: heartbeats that renew them, offers that workers answer, reports
- * that end them, and silence that expires them.
+ * Manages live leases: heartbeats that renew them, replies to offers, task reports, and expiry.
  *
  * @example
  * ```ts
- * import { LeaseKeeper } from "./_lease_manager.ts";
- * const keeper = new LeaseKeeper(books, lifecycle);
- * keeper.handleHeartbeat(instance, held, at);
- * keeper.expireLeases(at);
+ * import { LeaseManager } from "./_lease_manager.ts";
+ * const leases = new LeaseManager(state, lifecycle);
+ * leases.handleHeartbeat(instance, held, nowMs);
+ * leases.expireLeases(nowMs);
  * ```
  *
  * @module
@@ -26,14 +25,14 @@
 import { leaseChart, NO_GUARDS, type Lifecycle } from "./_lifecycle.ts";
 import type { HeldLease, LeaseRecord, RequestRecord, TaskReport } from "./types.ts";
 
-/** The leases of one cell. */
+/** Manages the leases of one cell. */
 export class LeaseManager {
     readonly #state: CellState;
     readonly #lifecycle: Lifecycle;
 
     /**
-     * @param state The cell's records.
-     * @param lifecycle What the end of a lease means for its request.
+     * @param state The cell's state.
+     * @param lifecycle Applies the end of a lease to its request.
      */
     constructor(state: CellState, lifecycle: Lifecycle) {
         this.#state = state;
@@ -41,12 +40,12 @@
     }
 
     /**
-     * Takes a heartbeat: renews the listed leases and takes their reported use. A lease the
-     * worker holds but the cell has ended (or never made) is stopped, so no stray copy runs.
+     * Processes a heartbeat: renews the listed leases and updates their reported usage. A listed
+     * lease that is unknown or has ended is stopped, so that no duplicate task keeps running.
      *
      * @param instance The worker's instance.
-     * @param held The leases the worker holds, with their use.
-     * @param nowMs The time in ms.
+     * @param held The leases that the worker holds, with their usage.
+     * @param nowMs The current time in ms.
      */
     handleHeartbeat(instance: InstanceId, held: readonly HeldLease[], nowMs: number): void {
         const worker = this.#state.workers.get(instance);
@@ -81,12 +80,12 @@
     }
 
     /**
-     * Tells whether a heartbeat lists just the leases that this cell has live on the worker, none
-     * using more than declared: then the short `renew` input says the same as the heartbeat.
+     * Reports whether a heartbeat lists exactly the live leases of its worker, with no usage above
+     * the declared demand. The shorter `renew` input is then equivalent to the heartbeat.
      *
      * @param instance The worker's instance.
-     * @param held The leases the worker holds.
-     * @returns True when `renew` is enough.
+     * @param held The leases that the worker holds.
+     * @returns True when a `renew` input suffices.
      */
     isRenewal(instance: InstanceId, held: readonly HeldLease[]): boolean {
         const worker = this.#state.workers.get(instance);
@@ -106,10 +105,10 @@
     }
 
     /**
-     * Lists which of a worker's leases it must stop: those that ended here, and those that were
-     * told to stop and still run (the stop may have been lost).
+     * Lists the leases that a worker must stop: those that have ended here, and those that are
+     * still running after a stop was sent, since that message may have been lost.
      *
-     * @param held The leases the worker holds.
+     * @param held The leases that the worker holds.
      * @returns The leases to stop.
      */
     listLeasesToStop(held: readonly HeldLease[]): LeaseId[] {
@@ -119,10 +118,10 @@
     }
 
     /**
-     * Renews workers and every live lease on them.
+     * Renews workers and all of their live leases.
      *
      * @param instances The workers' instances.
-     * @param nowMs The time in ms.
+     * @param nowMs The current time in ms.
      */
     renewWorkers(instances: readonly InstanceId[], nowMs: number): void {
         for (const instance of instances) {
@@ -141,12 +140,12 @@
     }
 
     /**
-     * Takes a worker's reply to a lease offer.
+     * Processes a worker's reply to a lease offer.
      *
      * @param id The lease.
-     * @param accepted Whether the worker took it.
-     * @param reason The worker's reason when it did not.
-     * @param nowMs The time in ms.
+     * @param accepted Whether the worker accepted it.
+     * @param reason The worker's reason for declining.
+     * @param nowMs The current time in ms.
      */
     handleGrantReply(id: LeaseId, accepted: boolean, reason: string, nowMs: number): void {
         const lease = this.#state.leases.get(id);
@@ -162,13 +161,14 @@
     }
 
     /**
-     * Takes a worker's report of a task.
+     * Processes a worker's report on a task.
      *
      * @param id The lease.
-     * @param epoch The lease's epoch as the worker holds it; a stale one is ignored.
-     * @param report What happened.
-     * @param detail The worker's words.
-     * @param nowMs The time in ms.
+     * @param epoch The lease's epoch according to the worker; reports with a stale epoch are
+     * ignored.
+     * @param report The reported state.
+     * @param detail The worker's description.
+     * @param nowMs The current time in ms.
      */
     handleReport(
         id: LeaseId,
@@ -203,10 +203,10 @@
     }
 
     /**
-     * Tells whether a worker or a lease has been silent for too long.
+     * Reports whether a worker or a lease has timed out.
      *
-     * @param nowMs The time in ms.
-     * @returns True when {@link LeaseManager.expireLeases} would end something.
+     * @param nowMs The current time in ms.
+     * @returns True when {@link LeaseManager.expireLeases} would change something.
      */
     hasExpired(nowMs: number): boolean {
         const timeoutMs = this.#getTimeoutMs();
@@ -226,9 +226,9 @@
     }
 
     /**
-     * Ends workers and leases that have been silent for too long.
+     * Marks workers without recent heartbeats as dead and expires leases that were not renewed.
      *
-     * @param nowMs The time in ms.
+     * @param nowMs The current time in ms.
      */
     expireLeases(nowMs: number): void {
         const timeoutMs = this.#getTimeoutMs();
@@ -237,8 +237,8 @@
                 worker.alive = false;
             }
         }
-        // Over the ids themselves: building a list of thousands of leases on every tick took 7%
-        // of the cell's time. Closing one takes it, and maybe others of its request, out.
+        // Iterates over the set itself to avoid copying it on every tick. Closing a lease removes
+        // it, and possibly others of the same request, from the set.
         for (const id of this.#state.liveLeases) {
             const lease = this.#state.leases.get(id);
             if (lease === undefined || nowMs - lease.renewedAt <= timeoutMs) {
--- a/cell/_lifecycle.ts
+++ b/cell/_lifecycle.ts
@@ -1,12 +1,12 @@
 /**
- * The life of requests and leases: granting, starting, stopping and ending, along the edges of
- * the state charts.
+ * State transitions of requests and leases: grant, start, stop and end, as the state charts define
+ * them.
  *
  * @example
  * ```ts
  * import { Lifecycle } from "./_lifecycle.ts";
- * const lifecycle = new Lifecycle(books);
- * lifecycle.grantAll(request, workers, at);
+ * const lifecycle = new Lifecycle(state);
+ * lifecycle.grantLeases(request, workers, nowMs);
  * ```
  *
  * @module
@@ -18,33 +18,33 @@
 import type { CellState } from "./_cell_state.ts";
 import type { LeaseRecord, RequestRecord, TaskOutcome } from "./types.ts";
 
-/** The life of a request. */
+/** The state chart of a request. */
 export const requestChart = loadChart(new URL("../request/request_chart.yaml", import.meta.url));
-/** The life of a lease. */
+/** The state chart of a lease. */
 export const leaseChart = loadChart(new URL("../lease/lease_chart.yaml", import.meta.url));
 
-/** For charts without guards. */
+/** The guards of a chart that has none. */
 export const NO_GUARDS: ReadonlySet<string> = new Set();
 const RETRYABLE: ReadonlySet<string> = new Set(["retryable"]);
 const AT_MOST_ONCE: ReadonlySet<string> = new Set(["at_most_once"]);
 
-/** Moves requests and leases through their lives. */
+/** Applies state transitions to requests and leases. */
 export class Lifecycle {
     readonly #state: CellState;
 
     /**
-     * @param state The cell's books.
+     * @param state The cell's state.
      */
     constructor(state: CellState) {
         this.#state = state;
     }
 
     /**
-     * Leases every task of a request.
+     * Grants a lease for every task of a request.
      *
      * @param request The request.
-     * @param workers A worker per task.
-     * @param nowMs The time in ms.
+     * @param workers One worker per task.
+     * @param nowMs The current time in ms.
      */
     grantLeases(request: RequestRecord, workers: readonly WorkerState[], nowMs: number): void {
         request.trouble = undefined;
@@ -90,10 +90,10 @@
     }
 
     /**
-     * Moves a request on once each of its tasks runs.
+     * Marks a request as started once all of its tasks run or have ended.
      *
      * @param request The request.
-     * @param nowMs The time in ms.
+     * @param nowMs The current time in ms.
      */
     handleTaskStarted(request: RequestRecord, nowMs: number): void {
         if (!request.tasks.every((t) => t.state === "running" || t.state === "ended")) {
@@ -117,9 +117,9 @@
     }
 
     /**
-     * Ends a lease, frees what it held, and moves its request once none of its leases is live.
-     * A request goes back to the queue only after every lease of its last attempt has ended
-     * (released, declined, or expired past the grace): so no task runs in two places at once.
+     * Ends a lease and releases its resources. Once every lease of the request's current attempt
+     * has ended (released, declined, or expired after the grace period), the attempt is closed too;
+     * only then can the request be queued again, so that no task runs twice at the same time.
      */
     closeLease(
         lease: LeaseRecord,
@@ -173,10 +173,10 @@
     }
 
     /**
-     * Asks the workers to stop what is live of a request.
+     * Tells the workers to stop a request's live leases.
      *
      * @param request The request.
-     * @param mode "checkpoint" saves progress first.
+     * @param mode "checkpoint" saves progress before stopping.
      */
     stopLeases(request: RequestRecord, mode: "stop" | "checkpoint"): void {
         for (const task of request.tasks) {
@@ -190,9 +190,9 @@
     }
 
     /**
-     * Sends again what the leader before this one may not have sent: every offer not yet
-     * answered and every stop not yet confirmed. A worker answers a repeated offer as it
-     * answered the first, so an offer whose fate is unknown is asked about, never guessed.
+     * Emits every unanswered offer and unconfirmed stop again, since the previous leader may not
+     * have sent them. A worker gives the same answer to a repeated offer, so resending is
+     * idempotent.
      */
     emitUnacknowledged(): void {
         for (const id of this.#state.liveLeases) {
@@ -239,12 +239,12 @@
     }
 
     /**
-     * Moves a request along its chart.
+     * Applies an event of the request chart to a request.
      *
      * @param request The request.
      * @param event The chart's event.
-     * @param nowMs The time in ms.
-     * @param reason In words, for the time line and the answer.
+     * @param nowMs The current time in ms.
+     * @param reason A description for the event history and the request's status.
      */
     applyRequestEvent(request: RequestRecord, event: string, nowMs: number, reason: string): void {
         const guards = this.#state.isRetryable(request) ? RETRYABLE : AT_MOST_ONCE;
@@ -277,7 +277,8 @@
             request.mayHaveRunBefore = true;
         }
         request.mayHaveStarted = request.mayHaveRunBefore;
-        // A service that ran well for long and lost its worker is not out of attempts.
+        // A long run resets the attempt counter: a service that ran for long and then lost its
+        // worker is retried.
         const ranForMs = nowMs - (request.attemptStartedAt ?? nowMs);
         if (ranForMs >= this.#state.options.attemptResetMs) {
             request.attempts = 0;
--- a/cell/_placer.ts
+++ b/cell/_placer.ts
@@ -1,11 +1,11 @@
 /**
- * Placing queued work: precedence order, quotas, preemption, and the refusal of what can never
- * run. The choice of workers itself is in `scheduler/`.
+ * Placement of queued requests: precedence order, quotas, preemption, and refusal of requests that
+ * can never run. The selection of workers is in `scheduler/`.
  *
  * @example
  * ```ts
  * import { Placer } from "./_placer.ts";
- * new Placer(books, lifecycle).placeQueued(at);
+ * new Placer(state, lifecycle).placeQueued(nowMs);
  * ```
  *
  * @module
@@ -24,14 +24,14 @@
 import type { Lifecycle } from "./_lifecycle.ts";
 import type { RequestRecord, RequestSpec } from "./types.ts";
 
-/** Places queued requests. */
+/** Places queued requests on workers. */
 export class Placer {
     readonly #state: CellState;
     readonly #lifecycle: Lifecycle;
 
     /**
-     * @param state The cell's books.
-     * @param lifecycle Moves requests and leases.
+     * @param state The cell's state.
+     * @param lifecycle Applies state transitions to requests and leases.
      */
     constructor(state: CellState, lifecycle: Lifecycle) {
         this.#state = state;
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Places queued requests in precedence order, and ends those past their wait.
+     * Places queued requests in precedence order, and ends those past their maximum wait.
      *
-     * @param nowMs The time in ms.
+     * @param nowMs The current time in ms.
      */
     placeQueued(nowMs: number): void {
         this.#state.isPlacementDue = false;
@@ -71,8 +71,8 @@
     }
 
     #checkDeadline(request: RequestRecord, nowMs: number): boolean {
-        // The wait is for the first start: a request that started and was preempted or lost its
-        // worker keeps its place in the queue.
+        // The limit applies to the first start only: a request that was preempted or lost its
+        // worker stays in the queue.
         const { maxWaitMs } = request.spec;
         if (
             maxWaitMs <= 0 ||
@@ -102,8 +102,8 @@
         if (quota !== undefined) {
             const used = this.#state.customerCores.get(request.spec.customer) ?? 0;
             if (used + request.spec.demand.cores * request.spec.count > quota + 1e-9) {
-                // No figures that change: each new text is a line of the time line, and a request
-                // that waited for its quota for seconds had hundreds of them.
+                // The text has no usage figures: each distinct text adds an event to the request's
+                // history.
                 this.#recordBlocked(
                     request,
                     nowMs,
@@ -199,10 +199,10 @@
     }
 
     /**
-     * Finds why a request can never run.
+     * Finds the reason why a request can never run.
      *
      * @param spec The request.
-     * @returns The reason, or `undefined` when it may run.
+     * @returns The reason, or `undefined` when it can run.
      */
     findRefusalReason(spec: RequestSpec): string | undefined {
         const rule = getKindRule(this.#state.rules, spec.kind);
--- a/cell/_queue.ts
+++ b/cell/_queue.ts
@@ -1,5 +1,5 @@
 /**
- * The queue of requests waiting for a placement: highest precedence first, then arrival order.
+ * A queue of requests that wait for placement, by precedence and then by arrival order.
  *
  * @example
  * ```ts
@@ -14,23 +14,22 @@
 
 import type { RequestRecord } from "./types.ts";
 
-/** One precedence's waiting requests. */
+/** The queued requests of one precedence. */
 export interface QueueBucket {
     readonly precedence: number;
     readonly requests: readonly RequestRecord[];
 }
 
-/** Requests waiting for a placement. */
+/** Orders requests that wait for placement. */
 export class RequestQueue {
     readonly #buckets = new Map<number, RequestRecord[]>();
 
     /**
-     * Adds a request in arrival order within its precedence; a requeued one returns to its
-     * place. A binary search finds the place: sorting on every insert would cost a
-     * backlog of thousands most of a tick.
+     * Inserts a request in arrival order within its precedence; a requeued request regains its
+     * position. The binary search avoids sorting the bucket on every insert.
      *
      * @param request The request.
-     * @param precedence Its class's precedence.
+     * @param precedence The precedence of its class.
      */
     add(request: RequestRecord, precedence: number): void {
         const bucket = this.#buckets.get(precedence) ?? [];
@@ -49,7 +48,8 @@
     }
 
     /**
-     * Lists the buckets, highest precedence first, after dropping requests no longer queued.
+     * Lists the buckets, highest precedence first, after removing requests that are no longer
+     * queued.
      *
      * @returns The buckets.
      */
@@ -60,7 +60,7 @@
             .map(([precedence, requests]) => ({ precedence, requests }));
     }
 
-    /** Drops requests that were placed, cancelled or refused. */
+    /** Removes requests that are no longer queued. */
     removeNotQueued(): void {
         for (const [precedence, bucket] of this.#buckets) {
             const waiting = bucket.filter((r) => r.state === "queued");
@@ -72,7 +72,9 @@
         }
     }
 
-    /** Whether anything may be waiting. */
+    /**
+     * Whether the queue has no buckets; a bucket may still contain requests that left the queue.
+     */
     get isEmpty(): boolean {
         return this.#buckets.size === 0;
     }
--- a/cell/_rules_updater.ts
+++ b/cell/_rules_updater.ts
@@ -1,11 +1,11 @@
 /**
- * Changes of the rules while requests are under way: what a change must not break, and what requests
- * keep of the rules that they were accepted under.
+ * Updates of the rules while requests are unfinished: checks a change against the requests in the
+ * cell, and keeps the guarantees under which they were accepted.
  *
  * @example
  * ```ts
- * import { RulesChanges } from "./_rules_updater.ts";
- * const result = new RulesChanges(books).setRules(change);
+ * import { RulesUpdater } from "./_rules_updater.ts";
+ * const result = new RulesUpdater(state).setRules(change);
  * ```
  *
  * @module
@@ -16,22 +16,23 @@
 import type { CellState } from "./_cell_state.ts";
 import { requestChart } from "./_lifecycle.ts";
 
-/** The rules changes of one cell. */
+/** Applies rules updates to one cell. */
 export class RulesUpdater {
     readonly #state: CellState;
 
     /**
-     * @param state The cell's records.
+     * @param state The cell's state.
      */
     constructor(state: CellState) {
         this.#state = state;
     }
 
     /**
-     * Applies a rules change: once per change id; a stale expected version is a conflict.
+     * Applies a rules change. It is idempotent by change id, and conflicts when the expected
+     * version is stale.
      *
      * @param change The change.
-     * @returns Applied with the new version, or why not.
+     * @returns The new version, or the reason why the change was not applied.
      */
     setRules(change: RulesChange): RulesChangeResult {
         const result = this.#state.rulesStore.applyChange(change, () =>
@@ -42,12 +43,11 @@
     }
 
     /**
-     * Takes rules that the configuration group decided. Kinds that it drops while requests of
-     * them have not ended stay known to those requests only; requests of a kind that became
-     * non-idempotent are not run again.
+     * Adopts rules from the configuration group. Removed kinds stay available to their unfinished
+     * requests only; requests of a kind that became non-idempotent are not retried.
      *
      * @param file The rules.
-     * @returns Whether they are in force now; older ones than those in force are ignored.
+     * @returns Whether the rules are now in force; versions older than the current one are ignored.
      */
     adoptRules(file: RulesFile): boolean {
         const { rules: previousRules } = this.#state.rulesStore;
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Finds what would break if rules took effect: problems of the rules themselves, and kinds
-     * that requests not yet ended still need (their next tick would find no rule for them).
+     * Lists what would break if rules took effect: problems of the rules themselves, and removed
+     * kinds that unfinished requests still need.
      *
      * @param rules The rules.
      * @returns One line per problem.
--- a/cell/_snapshot.ts
+++ b/cell/_snapshot.ts
@@ -1,13 +1,12 @@
 /**
- * The cell's books as text and back. A cell restored from a snapshot decides exactly as one that
- * replayed every input: sums are kept as they are (adding them up anew in another order could
- * differ in the last bit), and the order of a worker's leases is kept (preemption looks at it).
- * Ended leases are left out: every input treats an unknown lease like an ended one.
+ * Encodes the state of a cell as text and restores it. A restored cell makes the same decisions as
+ * one that replayed every input: floating-point sums and the order of a worker's leases are stored,
+ * not recomputed. Ended leases are left out, since inputs treat unknown and ended leases alike.
  *
  * @example
  * ```ts
- * import { encodeBooks, restoreBooks } from "./_snapshot.ts";
- * restoreBooks(other, encodeBooks(books));
+ * import { encodeState, restoreState } from "./_snapshot.ts";
+ * restoreState(otherState, encodeState(state));
  * ```
  *
  * @module
@@ -56,9 +55,9 @@
 }
 
 /**
- * Encodes the books.
+ * Encodes a cell's state.
  *
- * @param state The books.
+ * @param state The state.
  * @returns JSON text.
  */
 export function encodeState(state: CellState): string {
@@ -95,10 +94,10 @@
 }
 
 /**
- * Replaces the contents of the books. Workers that the inventory no longer has are dropped.
+ * Replaces a cell's state. Workers that are no longer in the inventory are dropped.
  *
- * @param state The books to fill.
- * @param text What {@link encodeState} gave.
+ * @param state The state to replace.
+ * @param text The output of {@link encodeState}.
  */
 export function restoreState(state: CellState, text: string): void {
     const snapshot = JSON.parse(text) as CellSnapshot;
--- a/cell/cell.ts
+++ b/cell/cell.ts
@@ -1,15 +1,14 @@
 /**
- * The cell: every request, task, lease and worker of one scheduling domain, as a deterministic
- * state machine. Inputs go in (`applyInput`), effects come out (`takeEffects`); it does no I/O
- * and reads no clock, so every replica of a group holds the same cell, and tests can drive it
- * with plain calls.
+ * A deterministic state machine of one scheduling domain: requests, tasks, leases and workers.
+ * Inputs go in through `applyInput` and effects come out of `takeEffects`. It does no I/O and reads
+ * no clock, so all replicas of a group hold the same state.
  *
  * @example
  * ```ts
  * import { Cell } from "./cell.ts";
  * const cell = new Cell({ inventory, rules });
  * cell.announceWorker(instance, "127.0.0.1:7001", 0);
- * const answer = cell.submit(spec, 1);
+ * const status = cell.submit(spec, 1);
  * cell.tick(2);
  * for (const effect of cell.takeEffects()) { ... }
  * ```
@@ -58,10 +57,13 @@
 
 export type { CellCounters, CellOptions } from "./_cell_state.ts";
 
-/** How often a queue that nothing changed for is looked at again, in ms (quarantines end). */
+/**
+ * Minimum interval between ticks while no placement is due, in ms. An unchanged queue is retried
+ * too, since quarantines end without an input.
+ */
 const PLACEMENT_RETRY_INTERVAL_MS = 100;
 
-/** The cell's state machine. */
+/** The state machine of a cell. */
 export class Cell {
     readonly #state: CellState;
     readonly #lifecycle: Lifecycle;
@@ -84,10 +86,10 @@
     }
 
     /**
-     * Applies one input; every replica of a group applies the same ones in the same order.
+     * Applies one input. All replicas of a group apply the same inputs in the same order.
      *
      * @param input The input.
-     * @returns What the sender of the input is told, where it is told anything.
+     * @returns The result for the input's sender, if there is one.
      * @throws {KeyConflictError} See {@link Cell.submit}.
      */
     applyInput(input: CellInput): RequestStatus | RulesChangeResult | boolean | undefined {
@@ -143,9 +145,9 @@
     }
 
     /**
-     * Takes the effects produced since the last call.
+     * Takes the effects emitted since the last call.
      *
-     * @returns Effects in the order they arose.
+     * @returns The effects, in order.
      */
     takeEffects(): Effect[] {
         return this.#state.takeEffects();
@@ -163,7 +165,7 @@
     /**
      * Replaces the whole state.
      *
-     * @param text What {@link Cell.encode} gave.
+     * @param text The output of {@link Cell.encode}.
      */
     restore(text: string): void {
         restoreState(this.#state, text);
@@ -179,7 +181,7 @@
         return this.#state.inventory;
     }
 
-    /** Counters since the cell began. */
+    /** Counters since the cell was created. */
     get counters(): CellCounters {
         return this.#state.counters;
     }
@@ -190,12 +192,12 @@
     }
 
     /**
-     * Accepts a request, or returns the one that already holds its idempotency key.
+     * Accepts a request, or returns the existing one with the same idempotency key.
      *
      * @param spec The request.
-     * @param nowMs The time in ms.
-     * @returns The answer as it stands now.
-     * @throws {KeyConflictError} When the key names a request with other contents.
+     * @param nowMs The current time in ms.
+     * @returns The request's current status.
+     * @throws {KeyConflictError} When the key belongs to a request with other contents.
      */
     submit(spec: RequestSpec, nowMs: number): RequestStatus {
         const callerKey = createCallerKey(spec.caller, spec.key);
@@ -226,11 +228,11 @@
     }
 
     /**
-     * Cancels a request: at once if queued, after the workers confirm the stop otherwise.
+     * Cancels a request: immediately when queued, otherwise once the workers confirm the stop.
      *
-     * @param id The request.
-     * @param nowMs The time in ms.
-     * @returns The answer, or `undefined` for an unknown id.
+     * @param id The request's id.
+     * @param nowMs The current time in ms.
+     * @returns The request's status, or `undefined` for an unknown id.
      */
     cancel(id: RequestId, nowMs: number): RequestStatus | undefined {
         const request = this.#state.requests.get(id);
@@ -253,10 +255,10 @@
     }
 
     /**
-     * Describes a request's fate.
+     * Describes the status of a request.
      *
-     * @param id The request.
-     * @returns The answer, or `undefined` for an unknown id.
+     * @param id The request's id.
+     * @returns The status, or `undefined` for an unknown id.
      */
     describeRequest(id: RequestId): RequestStatus | undefined {
         const request = this.#state.requests.get(id);
@@ -290,7 +292,7 @@
      * Finds a request by its caller's idempotency key.
      *
      * @param caller The caller.
-     * @param key The key.
+     * @param key The idempotency key.
      * @returns The request's id, or `undefined`.
      */
     findRequestIdByKey(caller: string, key: string): RequestId | undefined {
@@ -298,17 +300,17 @@
     }
 
     /**
-     * Gives what a caller asked for.
+     * Finds the spec that a caller submitted.
      *
-     * @param id The request.
-     * @returns The request as sent, or `undefined` when its time line was dropped.
+     * @param id The request's id.
+     * @returns The spec, or `undefined` when it is unknown or past its retention.
      */
     findSpec(id: RequestId): RequestSpec | undefined {
         return this.#state.requests.get(id)?.spec;
     }
 
     /**
-     * Lists every request id whose time line is kept, oldest first.
+     * Lists the ids of all requests within their retention, oldest first.
      *
      * @returns The ids.
      */
@@ -317,9 +319,9 @@
     }
 
     /**
-     * Counts the requests whose time line is kept, per state.
+     * Counts the requests within their retention by state.
      *
-     * @returns The states with their counts.
+     * @returns The number of requests per state.
      */
     countRequestsByState(): Map<string, number> {
         const states = new Map<string, number>();
@@ -330,26 +332,26 @@
     }
 
     /**
-     * Lists the workers' views (read only by callers).
+     * Lists the state of every worker; callers must not modify it.
      *
-     * @returns The views.
+     * @returns The workers.
      */
     listWorkers(): readonly WorkerState[] {
         return this.#state.workerList;
     }
 
     /**
-     * Finds a worker's view (read only by callers).
+     * Finds the state of a worker; callers must not modify it.
      *
      * @param instance The worker's instance.
-     * @returns The view, or `undefined` for an unknown instance.
+     * @returns The worker, or `undefined` for an unknown instance.
      */
     findWorker(instance: InstanceId): WorkerState | undefined {
         return this.#state.workers.get(instance);
     }
 
     /**
-     * Lists every lease of a request whose time line is kept, live or ended.
+     * Lists the live and ended leases of requests within their retention.
      *
      * @returns The leases.
      */
@@ -358,7 +360,7 @@
     }
 
     /**
-     * Lists the leases that still hold resources.
+     * Lists the leases that hold resources.
      *
      * @returns The leases.
      */
@@ -367,12 +369,12 @@
     }
 
     /**
-     * Takes a worker's announcement: it takes work from now on, unless an operator drained it.
+     * Registers a worker process: it receives work from now on, unless an operator drained it.
      *
      * @param instance The worker's instance.
-     * @param address Where its agent listens.
-     * @param nowMs The time in ms.
-     * @param incarnation The worker process; a restarted one gives another.
+     * @param address The address of its agent.
+     * @param nowMs The current time in ms.
+     * @param incarnation The id of the worker process; changes with a restart.
      */
     announceWorker(instance: InstanceId, address: string, nowMs: number, incarnation = ""): void {
         const worker = this.#state.workers.get(instance);
@@ -388,11 +390,12 @@
     }
 
     /**
-     * Stops new work going to a worker; its tasks go on.
+     * Stops sending new work to a worker; its running tasks continue.
      *
      * @param instance The worker's instance.
-     * @param _nowMs The time in ms.
-     * @param reason "drained" by an operator (until undrained) or "leaving" by its own word.
+     * @param _nowMs The current time in ms.
+     * @param reason "drained" by an operator (until undrained), or "leaving" as the worker
+     * announced.
      * @returns False for an unknown instance.
      */
     drainWorker(instance: InstanceId, _nowMs: number, reason: "drained" | "leaving"): boolean {
@@ -441,11 +444,11 @@
     }
 
     /**
-     * Starts a new leader's rule: workers and leases get their full time again, because the
-     * heartbeats that the leader before heard last may not be in the log, and what that leader
-     * may not have sent is sent again.
+     * Prepares the cell for a new leader. Workers and leases get their full timeout again, because
+     * the last heartbeats to the previous leader may not be in the log, and unconfirmed messages
+     * are emitted again.
      *
-     * @param nowMs The time in ms.
+     * @param nowMs The current time in ms.
      */
     handleTakeover(nowMs: number): void {
         for (const worker of this.#state.workerList) {
@@ -493,10 +496,10 @@
     }
 
     /**
-     * Advances the cell's clock: ends leases and workers that went silent, gives up on requests
-     * past their wait, and places queued work in precedence order.
+     * Advances the cell's clock: expires leases and workers, ends requests past their maximum wait,
+     * places queued requests, and removes requests past their retention.
      *
-     * @param nowMs The time in ms.
+     * @param nowMs The current time in ms.
      */
     tick(nowMs: number): void {
         this.#leaseManager.expireLeases(nowMs);
@@ -506,11 +509,11 @@
     }
 
     /**
-     * Lists queued requests that could be handed over to another zone's group: waiting for a
-     * while, and not themselves handed over by one.
+     * Lists queued requests that may be handed over to another zone's group: those that have waited
+     * long enough and were not received from another group.
      *
-     * @param nowMs The time in ms.
-     * @param limit The most to list.
+     * @param nowMs The current time in ms.
+     * @param limit The maximum number of requests to list.
      * @returns The requests, highest precedence first.
      */
     listHandOverCandidates(nowMs: number, limit: number): RequestRecord[] {
@@ -518,10 +521,10 @@
     }
 
     /**
-     * Tells how much of the cell's cores is free for new work.
+     * Computes the free cores for new work.
      *
-     * @param nowMs The time in ms.
-     * @returns Free cores; 0 while work is queued here.
+     * @param nowMs The current time in ms.
+     * @returns The free cores; 0 while requests are queued.
      */
     computeFreeCores(nowMs: number): number {
         if (!this.#state.queue.isEmpty) {
@@ -533,11 +536,10 @@
     }
 
     /**
-     * Tells whether a tick at a time could change anything, so that an idle leader asks its
-     * group to agree on nothing.
+     * Reports whether a tick could change anything, so that an idle leader replicates no input.
      *
-     * @param nowMs The time in ms.
-     * @returns False when a tick would be without effect.
+     * @param nowMs The current time in ms.
+     * @returns False when a tick would have no effect.
      */
     hasTickWork(nowMs: number): boolean {
         if (this.#state.isPlacementDue && !this.#state.queue.isEmpty) {
--- a/cell/cell_test.ts
+++ b/cell/cell_test.ts
@@ -24,9 +24,7 @@
 }
 
 test("a billed batch whose worker goes silent fails as 'may have run' and is never leased again", (t) => {
-    // The caller sees: failed, mayHaveRun true, one attempt. Order: the batch is leased and
-    // started, its worker stops heartbeating, the lease passes ttl + grace, the cell expires it.
-    // A retry could bill the client twice; an at-most-once kind must never be retried blind.
+    // A retry could bill the client twice.
     const cell = buildCell({ workers: 2, leaseTtlMs: 100, leaseGraceMs: 50 });
     const started = new Set<LeaseId>();
     const answer = cell.submit(buildSpec({ kind: "batch" }), 0);
@@ -43,9 +41,7 @@
 });
 
 test("an idempotent preview is leased again only after its first lease has expired", (t) => {
-    // The caller sees: the preview completes on a second worker. Order: leased on w1, w1 goes
-    // silent; until ttl + grace pass, the cell keeps the first lease and offers no second; after,
-    // it expires the first and leases again. Two leases at once could run it in two places.
+    // Two live leases could run the request on two workers at once.
     const cell = buildCell({ workers: 2, leaseTtlMs: 100, leaseGraceMs: 50 });
     const started = new Set<LeaseId>();
     const answer = cell.submit(buildSpec({ kind: "preview" }), 0);
@@ -67,8 +63,7 @@
 });
 
 test("a resend with the same key returns the same request; other contents under it are refused", (t) => {
-    // The caller sees its first answer again after a lost reply, and an error for a key reused
-    // with another request. Two requests under one key would run a reel twice.
+    // Two requests under one key would run the reel twice.
     const cell = buildCell();
     const spec = buildSpec({ kind: "reel" });
     const first = cell.submit(spec, 0);
@@ -82,7 +77,7 @@
 });
 
 test("work that can never fit is refused at once, with the reason", (t) => {
-    // The caller sees refused at once, not a request waiting for ever: no instance has 64 cores.
+    // Without the check, the request would wait without end: no instance has 64 cores.
     const cell = buildCell();
     const answer = cell.submit(
         buildSpec({ demand: { cores: 64, memoryMb: 1, accelerators: 0 } }),
@@ -95,9 +90,8 @@
 });
 
 test("a preview preempts an idempotent overnight hero, never a billed batch", (t) => {
-    // The caller of the preview sees it start on a full worker; the hero is stopped, requeued
-    // only once its worker confirms the stop; the billed batch is never chosen, since it could
-    // not run again. One worker of 8 cores: a 4-core batch and a 4-core hero fill it.
+    // The batch is never preempted, since it cannot run again; the hero is queued again only after
+    // its worker confirms the stop.
     const cell = buildCell({ workers: 1, cores: 8 });
     const started = new Set<LeaseId>();
     const batch = cell.submit(
@@ -129,8 +123,7 @@
 });
 
 test("a cancelled queued reel says it never ran; a worker that fails everything is quarantined", (t) => {
-    // The caller sees cancelled with mayHaveRun false: nothing was leased. A worker failing
-    // three previews in a row gets no fourth: without it, every retry would land there again.
+    // Without the quarantine, every retry could be placed on the failing worker again.
     const cell = buildCell({ workers: 2, quotaCores: 1_000 });
     const reel = cell.submit(
         buildSpec({ kind: "reel", demand: { cores: 100, memoryMb: 1, accelerators: 0 }, count: 1 }),
@@ -160,9 +153,7 @@
 });
 
 test("a rules change that drops a kind still in use, or names an unknown class, is rejected whole", (t) => {
-    // The operator sees "rejected" with every reason, and the rules in force stay as they were.
-    // Without the check, the next tick looks up the queued batch's kind, finds no rule, and
-    // throws inside the entry instance's loop; a kind naming an unknown class throws the same way.
+    // Without the check, the next tick would throw: the queued batch's kind would have no rule.
     const cell = buildCell({ workers: 1 });
     cell.drainWorker(createId<InstanceId>("w1"), 0, "drained");
     const batch = cell.submit(buildSpec({ kind: "batch" }), 0);
--- a/cell/replication_test.ts
+++ b/cell/replication_test.ts
@@ -16,9 +16,8 @@
 }
 
 test("a new leader sends again every offer without an answer and every stop without an end", (t) => {
-    // The leader commits a lease of a billed batch and a cancellation, and dies before either
-    // message leaves. The caller would see the batch "may have run" after the lease ran out, or
-    // the cancelled one go on; the successor instead asks the workers again, with the same lease.
+    // The previous leader may have failed between committing a lease or a cancellation and sending
+    // it.
     const cell = buildCell({ workers: 2 });
     cell.submit(buildSpec({ kind: "batch" }), 0);
     const cancelled = cell.submit(buildSpec({ kind: "batch" }), 0);
@@ -39,8 +38,7 @@
 });
 
 test("a gang of four that lost a worker is tried again: one try is one attempt", (t) => {
-    // The caller sees an idempotent gang run after a worker went silent. Counted per task, its first
-    // try used up four of three attempts, and the gang failed at the first trouble.
+    // Counting attempts per task would use up the limit of 3 in the first attempt.
     const cell = buildCell({ workers: 4, leaseTtlMs: 100, leaseGraceMs: 50 });
     const gang = cell.submit(buildSpec({ kind: "gang", count: 4 }), 0);
     cell.tick(1);
@@ -50,8 +48,8 @@
 });
 
 test("a heartbeat of another worker process does not renew what the earlier one ran", (t) => {
-    // A worker restarts: its tasks are gone, but its instance's heartbeats go on. The lease must
-    // run out, and the batch be told as "may have run", rather than stay running for ever.
+    // The restarted process does not run the earlier task, so its heartbeats must not renew the
+    // lease.
     const cell = buildCell({ workers: 1, leaseTtlMs: 100, leaseGraceMs: 50 });
     const batch = cell.submit(buildSpec({ kind: "batch" }), 0);
     cell.tick(1);
@@ -67,8 +65,7 @@
 });
 
 test("an operator's drain survives the worker's next announcement; undrain ends it", (t) => {
-    // The operator drains an instance for repair; its worker process restarts and announces
-    // itself. Work must not come back to it before the operator says so.
+    // A worker under repair must get no work until the operator undrains it.
     const cell = buildCell({ workers: 1 });
     const instance = createId<InstanceId>("w1");
     cell.drainWorker(instance, 0, "drained");
@@ -82,8 +79,7 @@
 });
 
 test("rules that make a kind idempotent do not make accepted work run twice", (t) => {
-    // The batch was accepted as at most once. The operator then marks batches idempotent, and the
-    // worker goes silent. The caller was promised one run; the change holds for later requests.
+    // The batch was accepted as at most once; the new rule applies to later requests only.
     const cell = buildCell({ workers: 2, leaseTtlMs: 100, leaseGraceMs: 50 });
     const batch = cell.submit(buildSpec({ kind: "batch" }), 0);
     cell.tick(1);
@@ -101,8 +97,7 @@
 });
 
 test("a kind dropped while this zone was cut off stays known to its requests only", (t) => {
-    // The zone could not object to the change. Its queued batch is still placed by the old rule;
-    // a new batch is refused with the reason.
+    // The queued batch is placed by its old rule; a new batch is refused.
     const cell = buildCell({ workers: 1 });
     const old = cell.submit(buildSpec({ kind: "batch" }), 0);
     const file = createRulesFile(buildRulesFixture());
@@ -113,8 +108,7 @@
 });
 
 test("an old request keeps its end state and its key when its time line is dropped", (t) => {
-    // A resend a week later must not bill the client again. The time line is gone to keep memory
-    // bounded; the end and the key are not.
+    // A late resend must not run the batch again.
     const cell = buildCell({ workers: 1, retentionMs: 1_000, keyRetentionMs: 10_000 });
     const spec = buildSpec({ kind: "batch" });
     const { requestId } = cell.submit(spec, 0);
@@ -132,8 +126,7 @@
 });
 
 test("a request that waits long for its quota has one line of it in its time line", (t) => {
-    // The team's other work starts and ends while the request waits. A line for every change of
-    // what is in use made answers, logs and memory grow with the wait.
+    // One event per change of the customer's usage would make the history grow with the wait.
     const cell = buildCell({ quotaCores: 4 });
     cell.submit(buildSpec({ demand: { cores: 3, memoryMb: 1, accelerators: 0 } }), 0);
     cell.tick(1);
@@ -155,7 +148,7 @@
 });
 
 test("a quota is shared out between zones and never exceeded by their sum", (t) => {
-    // Two zones each give out their own share of the team's 8 cores while they cannot talk.
+    // Each zone allocates from its own share, without communication with the other.
     const cells = [0.5, 0.5].map((quotaShare) => buildCell({ quotaCores: 8, quotaShare }));
     for (const cell of cells) {
         for (let i = 0; i < 5; i++) {
@@ -168,9 +161,7 @@
 });
 
 test("a request handed to another zone comes back only when that zone says it never ran", (t) => {
-    // A billed batch waits for room; another zone takes it. Until that zone has said how it ended
-    // the batch may run there, so it is neither placed here nor said not to have run. "Refused,
-    // never started" brings it back; an answer about an earlier hand-over is ignored.
+    // Until the other zone reports an end state, the request may be running there.
     const cell = buildCell({ workers: 1, cores: 2 });
     cell.submit(buildSpec({ kind: "reel" }), 0);
     const { requestId } = cell.submit(buildSpec({ kind: "batch" }), 0);
@@ -217,8 +208,7 @@
 });
 
 test("a request too large for every instance here is kept for a zone that can hold it", (t) => {
-    // The zone's instances have 4 cores; another zone's have 16. Refused at once, the caller would
-    // be told that no instance could ever hold it, which is not true of the whole cell.
+    // This zone's instances have 4 cores; those of the other zone have 16.
     const large = buildInventoryFixture({ workers: 1, cores: 16 });
     const otherZoneWorkers = [large.instances.map((i) => createWorkerState(i, large.executors))];
     const cell = buildCell({ workers: 1, cores: 4, otherZoneWorkers });
@@ -235,8 +225,7 @@
 });
 
 test("a cell restored from a snapshot decides exactly as one that took every input", (t) => {
-    // A member that catches up from a snapshot may lead next. Any difference in what it decides
-    // would be two replicas of one cell giving out the same cores twice.
+    // Different decisions by two replicas could allocate the same cores twice.
     const kinds = ["preview", "batch", "hero", "gang", "service"];
     fc.assert(
         fc.property(fc.array(stepArbitrary, { minLength: 10, maxLength: 60 }), (steps) => {
@@ -311,7 +300,7 @@
     return [{ type: "tick", at }];
 }
 
-/** Drops `undefined` fields, as a snapshot does. */
+/** Removes `undefined` fields, as encoding to JSON does. */
 function toPlain(value: unknown): unknown {
     return value === undefined ? undefined : JSON.parse(JSON.stringify(value));
 }
--- a/cell/types.ts
+++ b/cell/types.ts
@@ -1,6 +1,6 @@
 /**
- * The cell's typed records and messages: what callers ask for, what the cell answers, what it
- * tells workers, and the inputs that its durable journal keeps.
+ * Types of the cell's records, of its inputs and effects, and of the messages to callers and
+ * workers.
  *
  * @example
  * ```ts
@@ -23,42 +23,42 @@
 import type { RulesChange } from "../rules/mod.ts";
 import type { RulesFile } from "../rules/rules_file.ts";
 
-/** What the stand-in worker is told to do with a task; opaque to the scheduler. */
+/** How the stand-in worker simulates a task; opaque to the scheduler. */
 export interface WorkloadSpec {
-    /** True run time in ms; 0 runs until stopped (a long-running service). */
+    /** Actual run time in ms; 0 runs until stopped (a long-running service). */
     readonly runMs: number;
-    /** Real use as a share of the declared demand (1 = as declared). */
+    /** Actual usage as a fraction of the declared demand (1 = as declared). */
     readonly usageFactor: number;
-    /** The task fails at the end instead of completing. */
+    /** Whether the task fails at its end instead of completing. */
     readonly fail: boolean;
 }
 
-/** What the caller of a request that another zone's group handed over begins with. */
+/** Prefix of the caller in a request that another zone's group handed over. */
 export const HANDED_OVER_CALLER_PREFIX = "@";
-/** In the time line of such a request: the first group's id of it follows. */
+/** Prefix, in such a request's event history, of the id that the first group gave it. */
 export const HANDED_OVER_DETAIL_PREFIX = "handed over as ";
 
-/** A caller's request. */
+/** A request as its caller submits it. */
 export interface RequestSpec {
-    /** The caller (a merchandiser's tool, a chapel console). */
+    /** The calling application or user. */
     readonly caller: string;
-    /** The caller's idempotency key: a resend with the same key is the same request. */
+    /** The caller's idempotency key: requests with the same key are the same request. */
     readonly key: string;
     readonly kind: string;
     readonly service: ServiceId;
     readonly customer: CustomerId;
-    /** One task's demand. */
+    /** The resources of one task. */
     readonly demand: Resources;
-    /** Tasks: gang size, or replicas of a service; 1 otherwise. */
+    /** Number of tasks: the size of a gang or the replicas of a service; 1 otherwise. */
     readonly count: number;
-    /** Run time as the caller declares it, in ms (often far off). */
+    /** The caller's estimate of the run time, in ms; often inaccurate. */
     readonly declaredRunMs: number;
-    /** Give up when not started within this many ms; 0 waits for ever. */
+    /** Maximum wait for the first start, in ms; 0 waits without a limit. */
     readonly maxWaitMs: number;
     readonly work: WorkloadSpec;
 }
 
-/** One line of a request's time line. */
+/** An entry of a request's event history. */
 export interface RequestEvent {
     /** Time in ms since the epoch. */
     readonly at: number;
@@ -69,36 +69,36 @@
 /** The state of one task of a request. */
 export type TaskState = "waiting" | "offered" | "running" | "ended";
 
-/** One task of a request. */
+/** A task of a request. */
 export interface TaskRecord {
     readonly id: TaskId;
     state: TaskState;
     lease: LeaseId | undefined;
-    /** How its last lease ended. */
+    /** The outcome of its last lease. */
     outcome: TaskOutcome | undefined;
 }
 
-/** How a lease ended, for the task that ran under it. */
+/** The outcome of a task's lease. */
 export type TaskOutcome = "completed" | "failed" | "stopped" | "lost" | "declined";
 
-/** A request in the care of another zone's group. */
+/** A request that another zone's group handles. */
 export interface HandOver {
-    /** The group. */
+    /** The group that handles it. */
     readonly to: string;
-    /** Its idempotency key there: the same after every resend, another at the next hand-over. */
+    /** Its idempotency key in that group: constant across resends, new for each hand-over. */
     readonly key: string;
-    /** The caller withdrew it. */
+    /** Whether the caller cancelled it. */
     readonly isCancelled: boolean;
 }
 
-/** A request in the cell. */
+/** A request and its state in the cell. */
 export interface RequestRecord {
     readonly id: RequestId;
     readonly seq: number;
     readonly spec: RequestSpec;
     /**
-     * The kind was non-idempotent when the request was accepted, or became so since. A later
-     * rules change cannot turn the promise to run it at most once into a retry.
+     * Whether the kind was non-idempotent at acceptance or became so later. A later rules change
+     * does not make such a request retryable.
      */
     atMostOnce: boolean;
     state: string;
@@ -106,55 +106,55 @@
     startedAt: number | undefined;
     endedAt: number | undefined;
     reason: string | undefined;
-    /** Times it was leased (declined offers do not count). */
+    /** Number of attempts, without those whose offers were declined. */
     attempts: number;
-    /** When each task of the present attempt ran. */
+    /** The time at which all tasks of the current attempt were running, in ms. */
     attemptStartedAt: number | undefined;
-    /** A worker confirmed a start. */
+    /** Whether a worker confirmed a start. */
     started: boolean;
-    /** A lease was offered and not declined: the work may have begun. */
+    /** Whether a lease was offered and not declined, so that the work may have started. */
     mayHaveStarted: boolean;
-    /** An earlier attempt ended in a way that does not rule out a run (not declined). */
+    /** Whether an earlier attempt may have run, since its offers were not all declined. */
     mayHaveRunBefore: boolean;
-    /** Why its leases are being stopped, while they are. */
+    /** The reason why its leases are being stopped, if they are. */
     stopping: "cancel" | "preempt" | "trouble" | undefined;
-    /** The first task outcome other than completed, since the last grant. */
+    /** The first task outcome other than completed since the last grant. */
     trouble: TaskOutcome | undefined;
     troubleDetail: string;
-    /** When it last entered the queue, in ms. */
+    /** The time at which it last entered the queue, in ms. */
     queuedAt: number;
-    /** While another zone's group has it: which one, under what key. */
+    /** The group that currently handles it, if it was handed over. */
     handedTo: HandOver | undefined;
     /** How often it was handed over. */
     handOvers: number;
-    /** The last reason it could not be placed, told once. */
+    /** The last recorded reason why it could not be placed; repeats are not recorded. */
     blockedBy: string | undefined;
     readonly tasks: TaskRecord[];
     readonly events: RequestEvent[];
 }
 
-/** A lease of one task to one worker. */
+/** A lease that assigns one task to one worker. */
 export interface LeaseRecord {
     readonly id: LeaseId;
     readonly task: TaskId;
     readonly request: RequestId;
     readonly worker: InstanceId;
-    /** The worker process that the lease was made for; a restarted one never takes it. */
+    /** The worker process that the lease was granted to; a restarted process must not accept it. */
     readonly incarnation: string;
-    /** Fencing token: above every earlier lease's epoch. */
+    /** Fencing token: greater than the epoch of every earlier lease. */
     readonly epoch: number;
     state: string;
     readonly grantedAt: number;
     renewedAt: number;
     readonly declared: Resources;
     reported: Resources | undefined;
-    /** What it counts against the worker: the larger of declared and reported. */
+    /** The resources it reserves on the worker: the larger of declared and reported. */
     held: Resources;
-    /** A stop was sent. */
+    /** Whether a stop was sent. */
     stopSent: boolean;
 }
 
-/** What the cell answers about a request. */
+/** The status of a request as its caller sees it. */
 export interface RequestStatus {
     readonly requestId: RequestId;
     readonly caller: string;
@@ -163,20 +163,20 @@
     readonly state: string;
     readonly final: boolean;
     readonly reason: string | undefined;
-    /** True only when a worker confirmed a start. */
+    /** Whether a worker confirmed a start. */
     readonly started: boolean;
-    /** False only when the cell knows that no worker ever began it. */
+    /** False only when it is certain that no worker started the request. */
     readonly mayHaveRun: boolean;
     readonly attempts: number;
     readonly acceptedAt: number;
     readonly startedAt: number | undefined;
     readonly endedAt: number | undefined;
-    /** For an answer that is not final: when asking again is worth it, in ms. */
+    /** Suggested delay before the next poll, in ms; set while the status is not final. */
     readonly retryAfterMs: number | undefined;
     readonly events: readonly RequestEvent[];
 }
 
-/** A lease as the worker receives it. */
+/** A lease as it is sent to a worker. */
 export interface LeaseMessage {
     readonly lease: LeaseId;
     readonly task: TaskId;
@@ -189,17 +189,17 @@
     readonly work: WorkloadSpec;
 }
 
-/** A lease offer on the wire. */
+/** A lease offer as it is sent to a worker. */
 export interface GrantMessage extends LeaseMessage {
     /**
-     * The sending time, by the worker's own clock, of the newest heartbeat that the offer's
-     * sender had heard. The worker refuses an offer whose heartbeat is older than the time to
-     * live: a leader that was frozen since may have been replaced, and the task leased elsewhere.
+     * The sending time, by the worker's clock, of the newest heartbeat that the sender of the offer
+     * had received. The worker refuses an offer whose heartbeat is older than the time to live: the
+     * sender may have been paused and replaced as leader, and the task leased to another worker.
      */
     readonly beatAt: number;
 }
 
-/** What the cell asks the process around it to do. */
+/** An action that the surrounding process performs for the cell. */
 export type Effect =
     | { readonly type: "grant"; readonly address: string; readonly lease: LeaseMessage }
     | {
@@ -211,7 +211,7 @@
           readonly epoch: number;
           readonly mode: "stop" | "checkpoint";
       }
-    /** Another zone's group is to take (or withdraw) a request. */
+    /** Another zone's group receives or cancels a request. */
     | { readonly type: "handOver"; readonly request: RequestId; readonly handOver: HandOver }
     | { readonly type: "fate"; readonly request: RequestId; readonly event: RequestEvent }
     | {
@@ -229,10 +229,10 @@
     readonly usage: Resources | undefined;
 }
 
-/** What a worker reports of a task; `declined`: stopped before it ever started. */
+/** A worker's report on a task; `declined` means that it was stopped before it started. */
 export type TaskReport = "started" | "completed" | "failed" | "stopped" | "declined";
 
-/** Everything that changes the cell; the journal keeps these, and replay gives the same cell. */
+/** An input that changes the cell; inputs are logged, and replaying them gives the same state. */
 export type CellInput =
     | { readonly type: "submit"; readonly at: number; readonly spec: RequestSpec }
     | { readonly type: "cancel"; readonly at: number; readonly request: RequestId }
@@ -247,18 +247,18 @@
     | { readonly type: "leave"; readonly at: number; readonly instance: InstanceId }
     | { readonly type: "drain"; readonly at: number; readonly instance: InstanceId }
     | { readonly type: "undrain"; readonly at: number; readonly instance: InstanceId }
-    /** Heartbeats of a window, short: workers that hold just what the cell thinks they hold. */
+    /** A batch of heartbeats from workers that hold exactly the leases that the cell expects. */
     | { readonly type: "renew"; readonly at: number; readonly workers: readonly InstanceId[] }
-    /** A new leader serves: it has heard no heartbeats yet, so every lease gets its full time. */
+    /** A new leader took over; timeouts restart, since it has received no heartbeats yet. */
     | { readonly type: "takeover"; readonly at: number }
-    /** A queued request goes to another zone's group. */
+    /** A queued request is handed over to another zone's group. */
     | {
           readonly type: "handOver";
           readonly at: number;
           readonly request: RequestId;
           readonly to: string;
       }
-    /** What the other group made of it in the end. */
+    /** The other group reported the request's end state. */
     | {
           readonly type: "handOverResult";
           readonly at: number;
@@ -266,7 +266,7 @@
           readonly key: string;
           readonly answer: HandOverResult;
       }
-    /** Rules decided by the configuration group. */
+    /** New rules from the configuration group. */
     | { readonly type: "adoptRules"; readonly at: number; readonly rules: RulesFile }
     | {
           readonly type: "heartbeat";
@@ -291,7 +291,7 @@
       }
     | { readonly type: "setRules"; readonly at: number; readonly change: RulesChange };
 
-/** The end of a request in another zone's group. */
+/** The end state of a request in another zone's group. */
 export type HandOverResult = Pick<
     RequestStatus,
     "requestId" | "state" | "started" | "mayHaveRun" | "startedAt" | "reason"
@@ -302,7 +302,7 @@
     /**
      * @param caller The caller.
      * @param key The reused key.
-     * @param existing The request that holds the key.
+     * @param existing The id of the request that has the key.
      */
     constructor(caller: string, key: string, existing: RequestId) {
         super(
