--- a/cell/_invariants.ts
+++ b/cell/_invariants.ts
@@ -30,7 +30,9 @@
             .filter((l) => l.worker === worker.instance.id && LIVE_STATES.has(l.state))
             .reduce((sum, l) => addResources(sum, l.declared), NO_RESOURCES);
         if (!isFitting(held, worker.instance.capacity)) {
-            violations.push(`overcommit on ${worker.instance.id}: ${JSON.stringify(held)}`);
+            violations.push(
+                `instance ${worker.instance.id} is overcommitted: ${JSON.stringify(held)}`,
+            );
         }
     }
     const liveByTask = new Map<string, number>();
@@ -65,7 +67,7 @@
         }
         if (!status.mayHaveRun && startedLeases.length > 0) {
             violations.push(
-                `request ${id} says it did not run, but ${startedLeases.length} lease(s) started`,
+                `request ${id} reports mayHaveRun=false, but ${startedLeases.length} of its leases started`,
             );
         }
         if (status.final && requestLeases.some((l) => LIVE_STATES.has(l.state))) {
--- a/cell/cell_test.ts
+++ b/cell/cell_test.ts
@@ -23,7 +23,7 @@
     }
 }
 
-test("a billed batch whose worker goes silent fails as 'may have run' and is never leased again", (t) => {
+test("a non-idempotent request whose lease expires fails with mayHaveRun and is not retried", (t) => {
     // A retry could bill the client twice.
     const cell = buildCell({ workers: 2, leaseTtlMs: 100, leaseGraceMs: 50 });
     const started = new Set<LeaseId>();
@@ -40,7 +40,7 @@
     t.deepEqual(listInvariantViolations(cell, started), []);
 });
 
-test("an idempotent preview is leased again only after its first lease has expired", (t) => {
+test("an idempotent request is leased again only after its first lease has expired", (t) => {
     // Two live leases could run the request on two workers at once.
     const cell = buildCell({ workers: 2, leaseTtlMs: 100, leaseGraceMs: 50 });
     const started = new Set<LeaseId>();
@@ -49,7 +49,7 @@
     startTasks(cell, takeGrants(cell), 2, started);
     cell.handleHeartbeat(createId("w2"), [], 120);
     cell.tick(140);
-    t.is(takeGrants(cell).length, 0, "no second lease while the first may still run");
+    t.is(takeGrants(cell).length, 0, "no second lease while the first may still be running");
     cell.handleHeartbeat(createId("w2"), [], 200);
     cell.tick(200);
     const second = takeGrants(cell);
@@ -62,7 +62,7 @@
     t.deepEqual(listInvariantViolations(cell, started), []);
 });
 
-test("a resend with the same key returns the same request; other contents under it are refused", (t) => {
+test("a resend with the same key returns the same request; a reused key with other contents throws", (t) => {
     // Two requests under one key would run the reel twice.
     const cell = buildCell();
     const spec = buildSpec({ kind: "reel" });
@@ -76,7 +76,7 @@
     );
 });
 
-test("work that can never fit is refused at once, with the reason", (t) => {
+test("a request that no instance can hold is refused on submission with a reason", (t) => {
     // Without the check, the request would wait without end: no instance has 64 cores.
     const cell = buildCell();
     const answer = cell.submit(
@@ -89,7 +89,7 @@
     t.regex(answer.reason ?? "", /could ever hold/);
 });
 
-test("a preview preempts an idempotent overnight hero, never a billed batch", (t) => {
+test("preemption stops a preemptible idempotent task and never a non-idempotent one", (t) => {
     // The batch is never preempted, since it cannot run again; the hero is queued again only after
     // its worker confirms the stop.
     const cell = buildCell({ workers: 1, cores: 8 });
@@ -122,7 +122,7 @@
     t.deepEqual(listInvariantViolations(cell, started), []);
 });
 
-test("a cancelled queued reel says it never ran; a worker that fails everything is quarantined", (t) => {
+test("a request cancelled in the queue did not run; consecutive failures quarantine a worker", (t) => {
     // Without the quarantine, every retry could be placed on the failing worker again.
     const cell = buildCell({ workers: 2, quotaCores: 1_000 });
     const reel = cell.submit(
@@ -152,7 +152,7 @@
     t.true(other.listWorkers().some((w) => w.quarantinedUntil > 100));
 });
 
-test("a rules change that drops a kind still in use, or names an unknown class, is rejected whole", (t) => {
+test("a rules change that removes a kind in use or names an unknown class is rejected as a whole", (t) => {
     // Without the check, the next tick would throw: the queued batch's kind would have no rule.
     const cell = buildCell({ workers: 1 });
     cell.drainWorker(createId<InstanceId>("w1"), 0, "drained");
--- a/cell/replication_test.ts
+++ b/cell/replication_test.ts
@@ -15,7 +15,7 @@
     return cell.takeEffects().filter((e): e is Extract<Effect, { type: T }> => e.type === type);
 }
 
-test("a new leader sends again every offer without an answer and every stop without an end", (t) => {
+test("a new leader resends every unanswered offer and every unconfirmed stop", (t) => {
     // The previous leader may have failed between committing a lease or a cancellation and sending
     // it.
     const cell = buildCell({ workers: 2 });
@@ -28,16 +28,16 @@
     cell.handleTakeover(2_900);
     const again = cell.takeEffects();
     const offered = again.filter((e): e is Grant => e.type === "grant");
-    t.deepEqual(offered, [grants[0] as Grant], "the same lease and epoch");
+    t.deepEqual(offered, [grants[0] as Grant], "the resent offer has the same lease and epoch");
     t.deepEqual(
         again.filter((e) => e.type === "stop").map((e) => e.type === "stop" && e.lease),
         stops.map((e) => e.lease),
     );
     cell.tick(4_600);
-    t.is(cell.listLiveLeases().length, 2, "leases get their full time from the takeover");
+    t.is(cell.listLiveLeases().length, 2, "leases get their full timeout again after the takeover");
 });
 
-test("a gang of four that lost a worker is tried again: one try is one attempt", (t) => {
+test("an attempt of a gang counts once, not once per task", (t) => {
     // Counting attempts per task would use up the limit of 3 in the first attempt.
     const cell = buildCell({ workers: 4, leaseTtlMs: 100, leaseGraceMs: 50 });
     const gang = cell.submit(buildSpec({ kind: "gang", count: 4 }), 0);
@@ -47,7 +47,7 @@
     t.like(cell.describeRequest(gang.requestId), { state: "queued", attempts: 1 });
 });
 
-test("a heartbeat of another worker process does not renew what the earlier one ran", (t) => {
+test("a heartbeat of a restarted worker process does not renew the leases of the previous one", (t) => {
     // The restarted process does not run the earlier task, so its heartbeats must not renew the
     // lease.
     const cell = buildCell({ workers: 1, leaseTtlMs: 100, leaseGraceMs: 50 });
@@ -57,14 +57,14 @@
     t.is(grant?.lease.incarnation, "");
     cell.handleReport(grant?.lease.lease as LeaseId, grant?.lease.epoch ?? 0, "started", "", 2);
     cell.announceWorker(createId<InstanceId>("w1"), "new", 50, "second");
-    t.false(cell.isRenewal(createId("w1"), []), "an empty heartbeat is not a renewal of the lease");
+    t.false(cell.isRenewal(createId("w1"), []), "an empty heartbeat does not renew the lease");
     cell.handleHeartbeat(createId("w1"), [], 100);
     cell.handleHeartbeat(createId("w1"), [], 170);
     cell.tick(171);
     t.like(cell.describeRequest(batch.requestId), { state: "failed", mayHaveRun: true });
 });
 
-test("an operator's drain survives the worker's next announcement; undrain ends it", (t) => {
+test("an operator's drain persists when the worker announces itself again, until undrained", (t) => {
     // A worker under repair must get no work until the operator undrains it.
     const cell = buildCell({ workers: 1 });
     const instance = createId<InstanceId>("w1");
@@ -78,7 +78,7 @@
     t.is(takeEffectsOfType(cell, "grant").length, 1);
 });
 
-test("rules that make a kind idempotent do not make accepted work run twice", (t) => {
+test("a rules change that makes a kind idempotent does not make accepted requests retryable", (t) => {
     // The batch was accepted as at most once; the new rule applies to later requests only.
     const cell = buildCell({ workers: 2, leaseTtlMs: 100, leaseGraceMs: 50 });
     const batch = cell.submit(buildSpec({ kind: "batch" }), 0);
@@ -91,12 +91,12 @@
         kinds: file.kinds.map((k) => ({ ...k, idempotent: true })),
     };
     t.true(cell.adoptRules(rules));
-    t.false(cell.adoptRules({ ...rules, version: 1 }), "an older version never comes back");
+    t.false(cell.adoptRules({ ...rules, version: 1 }), "an older version is ignored");
     cell.tick(500);
     t.is(cell.describeRequest(batch.requestId)?.state, "failed");
 });
 
-test("a kind dropped while this zone was cut off stays known to its requests only", (t) => {
+test("a kind removed by adopted rules stays available to its unfinished requests only", (t) => {
     // The queued batch is placed by its old rule; a new batch is refused.
     const cell = buildCell({ workers: 1 });
     const old = cell.submit(buildSpec({ kind: "batch" }), 0);
@@ -107,7 +107,7 @@
     t.like(cell.submit(buildSpec({ kind: "batch" }), 2), { state: "refused" });
 });
 
-test("an old request keeps its end state and its key when its time line is dropped", (t) => {
+test("a request past its retention keeps its end state and idempotency key", (t) => {
     // A late resend must not run the batch again.
     const cell = buildCell({ workers: 1, retentionMs: 1_000, keyRetentionMs: 10_000 });
     const spec = buildSpec({ kind: "batch" });
@@ -125,7 +125,7 @@
     t.is(cell.describeRequest(requestId), undefined);
 });
 
-test("a request that waits long for its quota has one line of it in its time line", (t) => {
+test("a request that waits for its quota records the reason once", (t) => {
     // One event per change of the customer's usage would make the history grow with the wait.
     const cell = buildCell({ quotaCores: 4 });
     cell.submit(buildSpec({ demand: { cores: 3, memoryMb: 1, accelerators: 0 } }), 0);
@@ -147,7 +147,7 @@
     t.is(lines?.length, 1);
 });
 
-test("a quota is shared out between zones and never exceeded by their sum", (t) => {
+test("the cells of two zones together allocate no more than a shared quota", (t) => {
     // Each zone allocates from its own share, without communication with the other.
     const cells = [0.5, 0.5].map((quotaShare) => buildCell({ quotaCores: 8, quotaShare }));
     for (const cell of cells) {
@@ -160,7 +160,7 @@
     t.is(held, 8);
 });
 
-test("a request handed to another zone comes back only when that zone says it never ran", (t) => {
+test("a handed-over request is queued again only when the other zone reports that it did not run", (t) => {
     // Until the other zone reports an end state, the request may be running there.
     const cell = buildCell({ workers: 1, cores: 2 });
     cell.submit(buildSpec({ kind: "reel" }), 0);
@@ -175,7 +175,7 @@
     const key = effect?.handOver.key ?? "";
     t.like(cell.describeRequest(requestId), { state: "handed", mayHaveRun: true, final: false });
     cell.handleTakeover(300);
-    t.is(takeEffectsOfType(cell, "handOver").length, 1, "a new leader asks after it");
+    t.is(takeEffectsOfType(cell, "handOver").length, 1, "a new leader emits the hand-over again");
     const refused = {
         requestId: createId<RequestId>("z2.r1"),
         state: "refused",
@@ -194,7 +194,11 @@
         key,
         answer: refused,
     });
-    t.is(cell.describeRequest(requestId)?.state, "handed", "the late answer is of the first time");
+    t.is(
+        cell.describeRequest(requestId)?.state,
+        "handed",
+        "the result of the first hand-over is ignored",
+    );
     const failed = { ...refused, state: "failed", mayHaveRun: true, started: true };
     const again = takeEffectsOfType(cell, "handOver").at(-1)?.handOver.key ?? "";
     cell.applyInput({
@@ -207,7 +211,7 @@
     t.like(cell.describeRequest(requestId), { state: "failed", mayHaveRun: true });
 });
 
-test("a request too large for every instance here is kept for a zone that can hold it", (t) => {
+test("a request that only another zone's instances can hold is queued, not refused", (t) => {
     // This zone's instances have 4 cores; those of the other zone have 16.
     const large = buildInventoryFixture({ workers: 1, cores: 16 });
     const otherZoneWorkers = [large.instances.map((i) => createWorkerState(i, large.executors))];
@@ -224,7 +228,7 @@
     isRestored: fc.boolean(),
 });
 
-test("a cell restored from a snapshot decides exactly as one that took every input", (t) => {
+test("a cell restored from a snapshot makes the same decisions as one that applied every input", (t) => {
     // Different decisions by two replicas could allocate the same cores twice.
     const kinds = ["preview", "batch", "hero", "gang", "service"];
     fc.assert(
