--- a/bench/cluster_bench.ts
+++ b/bench/cluster_bench.ts
@@ -107,7 +107,7 @@
 async function measureRecovery(cluster: Cluster, workload: Workload): Promise<object> {
     const leaders = [await cluster.findLeader("z1"), await cluster.findLeader("config")];
     const late = [1, 2, 3].map((i) => `e-z1-${i}`).find((id) => !leaders.includes(id)) as string;
-    await cluster.removeProcess(late);
+    await cluster.killProcess(late);
     const demand = { cores: 99, memoryMb: 1, accelerators: 0 };
     for (let i = 0; i < MISSED / 10; i++) {
         await Promise.all(
--- a/cli/demo_command.ts
+++ b/cli/demo_command.ts
@@ -52,9 +52,10 @@
             });
             try {
                 const started = Date.now();
-                const answers = await new Caller({ entry: cell.entry, deadlineMs: 60_000 }).runAll(
-                    buildMix(deployment.name, Number(this.requests), 7),
-                );
+                const answers = await new Caller({
+                    entry: cell.entry,
+                    completionTimeoutMs: 60_000,
+                }).runAll(buildMix(deployment.name, Number(this.requests), 7));
                 this.context.stdout.write(
                     formatSummary(deployment.name, answers, Date.now() - started),
                 );
--- a/control/_fixtures.ts
+++ b/control/_fixtures.ts
@@ -148,8 +148,8 @@
             capacity: { cpu: 16_000, memoryMb: 32_000, gpu: 0 },
             getNow: () => performance.now(),
             computeTaskMs: () => this.#options.taskMs ?? 100,
-            getRoom: () => ({ cpu: 1_000, memoryMb: 1_000, gpu: 0 }),
-            onRun: (run) => this.startedTasks.push(run.task),
+            getDemand: () => ({ cpu: 1_000, memoryMb: 1_000, gpu: 0 }),
+            onStart: (run) => this.startedTasks.push(run.task),
         });
         this.workers.set(id, worker);
     }
@@ -289,7 +289,7 @@
 async function waitForEnd(worker: TaskWorker, order: PollOrder): Promise<PollAnswer> {
     const deadline = performance.now() + order.waitMs;
     for (;;) {
-        const answer = worker.look(order);
+        const answer = worker.poll(order);
         const hasEnds = answer.type === "state" && answer.ended.length > 0;
         if (hasEnds || performance.now() >= deadline) {
             return answer;
--- a/dispatch/_fixtures.ts
+++ b/dispatch/_fixtures.ts
@@ -317,10 +317,10 @@
             clockDrift: this.#options.clockDrift,
             computeTaskMs: (task) =>
                 this.#options.computeTaskMs?.(task, id) ?? this.#options.taskMs ?? 300,
-            getRoom: (task) => this.#findTaskResources(task),
+            getDemand: (task) => this.#findTaskResources(task),
             getLoad: this.#options.getTailLatencyMs,
-            getEnd: (task) => this.#options.getEnd?.(task, id) ?? "done",
-            onRun: (run) => this.#handleRun(id, run),
+            getOutcome: (task) => this.#options.getEnd?.(task, id) ?? "done",
+            onStart: (run) => this.#handleRun(id, run),
             onAcknowledge: (end) => this.#invariants.recordAcknowledgedEnd(end),
         });
     }
@@ -472,7 +472,7 @@
         this.#send<PollAnswer>(
             "look",
             id,
-            (worker) => worker.look(order),
+            (worker) => worker.poll(order),
             (answer) => {
                 this.dispatcher.handlePollAnswer(order, sentAt, answer);
                 onAnswer();
--- a/dispatch/evacuation_test.ts
+++ b/dispatch/evacuation_test.ts
@@ -39,7 +39,7 @@
     cluster.drainWorker(DRAINING_WORKER, 3_000);
     cluster.runFor(2_600);
     t.deepEqual(
-        cluster.workers.get(DRAINING_WORKER)?.runs.map((run) => run.stopsAt),
+        cluster.workers.get(DRAINING_WORKER)?.runs.map((run) => run.stopsAtMs),
         [undefined, undefined],
     );
 });
--- a/entry/_cluster_fixtures.ts
+++ b/entry/_cluster_fixtures.ts
@@ -127,7 +127,7 @@
         this.#name = options.name ?? "console-1";
         this.#caller = new Caller({
             entry: cluster.listEntries("caller", options.zone),
-            resendMs: options.resendMs ?? 30_000,
+            resendTimeoutMs: options.resendMs ?? 30_000,
         });
     }
 
@@ -231,7 +231,7 @@
     const instances = new Set(timeline.flatMap((e) => (e["instance"] as string) ?? []));
     return auditTimeline(timeline, {
         capacities: new Map([...instances].map((id) => [id, WORKER_CORES])),
-        killedAtMs: cluster.killedAt,
+        killedAtMs: cluster.killedAtMs,
         outcomes: answers.map((answer): ReportedOutcome => ({
             requestId: answer.requestId,
             state: answer.state,
--- a/entry/cluster_test.ts
+++ b/entry/cluster_test.ts
@@ -20,7 +20,7 @@
         workload.start({ intervalMs: 10, kinds: ["batch", "reel", "batch", "preview"] });
         await waitFor(1_000);
         const leader = (await cluster.findLeader(ZONE)) as string;
-        await cluster.removeProcess(leader);
+        await cluster.killProcess(leader);
         await cluster.waitLeaders();
         const before = workload.count;
         await waitUntil("the new leader accepts requests", () => workload.count > before + 50);
@@ -64,7 +64,7 @@
         workload.start({ intervalMs: 10 });
         await waitFor(800);
         const leader = (await cluster.findLeader(ZONE)) as string;
-        cluster.setIsolated(leader, "silent");
+        cluster.setInstanceIsolated(leader, "silent");
         await cluster.waitLeaders(leader);
         await waitFor(6_000);
         const isolated = await cluster.getStatus(leader);
@@ -72,7 +72,7 @@
             isolated?.groups.some((g) => g.serving),
             "an isolated leader must stop serving",
         );
-        cluster.setIsolated(leader, "open");
+        cluster.setInstanceIsolated(leader, "open");
         const { answers, violations } = await workload.audit();
         t.deepEqual(violations, []);
         t.true(answers.filter((a) => a.state === "completed").length > 300);
@@ -99,8 +99,8 @@
         const [replaced, other] = [1, 2, 3]
             .map((i) => `e-${ZONE}-${i}`)
             .filter((id) => id !== leader);
-        await cluster.removeProcess(replaced as string);
-        cluster.removeDisk(replaced as string);
+        await cluster.killProcess(replaced as string);
+        cluster.removeDataDir(replaced as string);
         await cluster.startEntry(replaced as string);
         await waitUntil("the replacement member has become a voter", async () => {
             const status = await cluster.getStatus(leader);
@@ -110,7 +110,7 @@
                     g.voters.some((v) => v.startsWith(`${replaced}#`) && !v.endsWith("#0")),
             );
         });
-        await cluster.removeProcess(other as string);
+        await cluster.killProcess(other as string);
         const before = workload.count;
         await waitUntil("requests continue to be submitted", () => workload.count > before + 50);
         const { answers, violations } = await workload.audit();
@@ -134,7 +134,7 @@
         const late = [1, 2, 3]
             .map((i) => `e-${ZONE}-${i}`)
             .find((id) => id !== leader && id !== config) as string;
-        await cluster.removeProcess(late);
+        await cluster.killProcess(late);
         const workload = new Workload(cluster);
         const { caller } = workload;
         workload.start({ intervalMs: 5, kinds: ["preview"], runMs: 5 });
@@ -236,7 +236,7 @@
         const loads = zones.map((zone) => new Workload(cluster, { name: `console-${zone}`, zone }));
         loads.forEach((load) => load.start({ intervalMs: 40 }));
         await waitFor(1_000);
-        cluster.setZoneCut("z1", "silent");
+        cluster.setZoneIsolated("z1", "silent");
         await waitUntil("the majority side leads the configuration group", async () => {
             const leader = await cluster.findLeader("config");
             return leader !== undefined && !leader.startsWith("e-z1");
@@ -264,7 +264,7 @@
             await hasRules(cluster, ["z1"], 1),
             "z1 must keep the previous rules during the partition",
         );
-        cluster.setZoneCut("z1", "open");
+        cluster.setZoneIsolated("z1", "open");
         await waitUntil("the rules are in force in z1", () => hasRules(cluster, ["z1"]));
         t.deepEqual(
             await loads[0]?.caller.setRules(change),
@@ -297,9 +297,9 @@
             const events = cluster.loadTimeline().filter((e) => e.message === "task started");
             return ["workers-z2", "workers-z3"].every((p) => events.some((e) => e.process === p));
         });
-        cluster.setZoneCut("z1", "silent");
+        cluster.setZoneIsolated("z1", "silent");
         await waitFor(3_000);
-        cluster.setZoneCut("z1", "open");
+        cluster.setZoneIsolated("z1", "open");
         await waitFor(1_000);
         const { answers, violations } = await workload.audit();
         t.deepEqual(violations, []);
@@ -326,7 +326,7 @@
         await waitUntil("the new rules are in force on every instance", () =>
             hasRules(cluster, [ZONE]),
         );
-        await cluster.removeProcess((await cluster.findLeader("config")) as string);
+        await cluster.killProcess((await cluster.findLeader("config")) as string);
         await cluster.waitLeaders();
         t.true(
             await hasRules(cluster, [ZONE]),
--- a/entry/entry_test.ts
+++ b/entry/entry_test.ts
@@ -30,7 +30,7 @@
         buildSpec({ kind: "preview", work: { runMs: 20, usageFactor: 1, fail: false } }),
         buildSpec({ kind: "reel", work: { runMs: 30, usageFactor: 1, fail: false } }),
     ];
-    const answers = await new Caller({ entry: address, deadlineMs: 10_000 }).runAll(specs);
+    const answers = await new Caller({ entry: address, completionTimeoutMs: 10_000 }).runAll(specs);
     t.deepEqual(
         answers.map((a) => a.state),
         ["completed", "completed"],
--- a/entry/invariants_test.ts
+++ b/entry/invariants_test.ts
@@ -55,10 +55,10 @@
             work: { runMs: 10, usageFactor: 1, fail: false },
         }),
     );
-    const answers = await new Caller({ entry: address, deadlineMs: 10_000 }).runAll(specs);
+    const answers = await new Caller({ entry: address, completionTimeoutMs: 10_000 }).runAll(specs);
     t.true(answers.every((a) => a.state === "completed"));
     t.deepEqual([...new Set(entry.cell.listLeases().map((l) => l.worker))], [w2.id]);
-    t.is(leaving.agents.get(w1.id)?.started.length, 0);
+    t.is(leaving.agents.get(w1.id)?.startedTasks.length, 0);
     await staying.stop();
     await entry.stop();
 });
--- a/load/cell_runner.ts
+++ b/load/cell_runner.ts
@@ -21,7 +21,7 @@
 import type { EntryStatus } from "../entry/mod.ts";
 import { createRpcClient } from "../rpc/mod.ts";
 
-const CLI = fileURLToPath(new URL("../bin/poplarhead.ts", import.meta.url));
+const CLI_PATH = fileURLToPath(new URL("../bin/poplarhead.ts", import.meta.url));
 const START_TIMEOUT_MS = 20_000;
 
 /** Options of {@link spawnCell}. */
@@ -60,13 +60,13 @@
     mkdirSync(options.dir, { recursive: true });
     const children: ChildProcess[] = [];
     const logFiles: string[] = [];
-    const settings = ["--inventory", options.inventoryFile, "--rules", options.rulesFile];
+    const commonArgs = ["--inventory", options.inventoryFile, "--rules", options.rulesFile];
     try {
         const entryLog = join(options.dir, "entry-1.log");
         logFiles.push(entryLog);
         const entryChild = spawnCli([
             "entry",
-            ...settings,
+            ...commonArgs,
             "--data-dir",
             join(options.dir, "entry-1"),
             "--log",
@@ -79,7 +79,7 @@
             logFiles.push(log);
             const child = spawnCli([
                 "workers",
-                ...settings,
+                ...commonArgs,
                 "--entry",
                 entry,
                 "--zone",
@@ -119,7 +119,7 @@
  * @returns The child; its standard output is for {@link waitListening}.
  */
 export function spawnCli(args: readonly string[]): ChildProcess {
-    return spawn(process.execPath, [...NODE_ARGS, "--import", "tsx", CLI, ...args], {
+    return spawn(process.execPath, [...NODE_ARGS, "--import", "tsx", CLI_PATH, ...args], {
         stdio: ["ignore", "pipe", "inherit"],
     });
 }
--- a/load/cluster_runner.ts
+++ b/load/cluster_runner.ts
@@ -51,8 +51,8 @@
 }
 
 const CALLER = "caller";
-const POLL_MS = 50;
-const WAIT_MS = 60_000;
+const POLL_INTERVAL_MS = 50;
+const DEFAULT_WAIT_TIMEOUT_MS = 60_000;
 
 /** A running cluster. */
 export class Cluster {
@@ -62,7 +62,7 @@
     readonly #addresses = new Map<string, string>();
     readonly #logFiles = new Set<string>();
     /** When worker processes were killed, for the audit. */
-    readonly killedAt = new Map<string, number>();
+    readonly killedAtMs = new Map<string, number>();
 
     private constructor(options: ClusterOptions) {
         this.#options = options;
@@ -125,7 +125,7 @@
      */
     async startWorkers(zone: string): Promise<void> {
         const { dir, inventoryFile, rulesFile, failing } = this.#options;
-        const id = createHostId(zone);
+        const id = createWorkerHostId(zone);
         const log = join(dir, `${id}.log`);
         this.#logFiles.add(log);
         const child = spawnCli([
@@ -172,7 +172,7 @@
      *
      * @param id The process.
      */
-    async removeProcess(id: string): Promise<void> {
+    async killProcess(id: string): Promise<void> {
         const child = this.#children.get(id);
         if (child === undefined || child.exitCode !== null || child.signalCode !== null) {
             return;
@@ -180,7 +180,7 @@
         const exited = new Promise<void>((resolve) => child.once("exit", () => resolve()));
         child.kill("SIGKILL");
         await exited;
-        this.killedAt.set(id, Date.now());
+        this.killedAtMs.set(id, Date.now());
     }
 
     /**
@@ -200,7 +200,7 @@
      *
      * @param id The instance.
      */
-    removeDisk(id: string): void {
+    removeDataDir(id: string): void {
         rmSync(join(this.#options.dir, id), { recursive: true, force: true });
     }
 
@@ -218,13 +218,13 @@
     /**
      * Cuts or heals every path between two sets of processes.
      *
-     * @param isCut Tells of a path whether it is meant.
+     * @param isSelected Tells of a path whether it is meant.
      * @param mode What the relays do from now on.
      */
-    setPaths(isCut: (from: string, to: string) => boolean, mode: RelayMode): void {
+    setPathModes(isSelected: (from: string, to: string) => boolean, mode: RelayMode): void {
         for (const [path, relay] of this.#relays) {
             const [from, to] = path.split(">") as [string, string];
-            if (isCut(from, to)) {
+            if (isSelected(from, to)) {
                 relay.setMode(mode);
             }
         }
@@ -237,8 +237,8 @@
      * @param id The instance.
      * @param mode What its paths do from now on.
      */
-    setIsolated(id: string, mode: RelayMode): void {
-        this.setPaths((from, to) => (from === id || to === id) && from !== CALLER, mode);
+    setInstanceIsolated(id: string, mode: RelayMode): void {
+        this.setPathModes((from, to) => (from === id || to === id) && from !== CALLER, mode);
     }
 
     /**
@@ -247,11 +247,11 @@
      * @param zone The zone.
      * @param mode What the paths over its border do from now on.
      */
-    setZoneCut(zone: string, mode: RelayMode): void {
+    setZoneIsolated(zone: string, mode: RelayMode): void {
         const isInside = (id: string): boolean =>
-            id === createHostId(zone) ||
+            id === createWorkerHostId(zone) ||
             this.#options.members.some((m) => m.id === id && m.zone === zone);
-        this.setPaths((from, to) => from !== CALLER && isInside(from) !== isInside(to), mode);
+        this.setPathModes((from, to) => from !== CALLER && isInside(from) !== isInside(to), mode);
     }
 
     /**
@@ -272,11 +272,11 @@
     /**
      * Lists the statuses of every instance that answers.
      *
-     * @param except An instance that is not asked (a frozen one would not answer).
+     * @param excludedId An instance that is not asked (a frozen one would not answer).
      * @returns The statuses.
      */
-    async listStatuses(except?: string): Promise<EntryStatus[]> {
-        const asked = this.#options.members.filter((m) => m.id !== except);
+    async listStatuses(excludedId?: string): Promise<EntryStatus[]> {
+        const asked = this.#options.members.filter((m) => m.id !== excludedId);
         const all = await Promise.all(asked.map((m) => this.getStatus(m.id)));
         return all.filter((s) => s !== undefined);
     }
@@ -285,27 +285,27 @@
      * Finds who leads a group.
      *
      * @param group The group.
-     * @param except An instance whose word does not count.
+     * @param excludedId An instance whose word does not count.
      * @returns The instance, or `undefined`.
      */
-    async findLeader(group: string, except?: string): Promise<string | undefined> {
-        const statuses = await this.listStatuses(except);
+    async findLeader(group: string, excludedId?: string): Promise<string | undefined> {
+        const statuses = await this.listStatuses(excludedId);
         return statuses.find((s) => s.groups.some((g) => g.id === group && g.serving))?.id;
     }
 
     /**
      * Waits until every group has a leader.
      *
-     * @param except An instance whose word does not count.
+     * @param excludedId An instance whose word does not count.
      */
-    async waitLeaders(except?: string): Promise<void> {
+    async waitLeaders(excludedId?: string): Promise<void> {
         await waitUntil("every group has a leader", async () => {
-            const statuses = await this.listStatuses(except);
-            const wanted = new Set(statuses.flatMap((s) => s.groups.map((g) => g.id)));
-            const led = new Set(
+            const statuses = await this.listStatuses(excludedId);
+            const groupIds = new Set(statuses.flatMap((s) => s.groups.map((g) => g.id)));
+            const ledGroupIds = new Set(
                 statuses.flatMap((s) => s.groups.filter((g) => g.serving).map((g) => g.id)),
             );
-            return wanted.size > 0 && [...wanted].every((g) => led.has(g));
+            return groupIds.size > 0 && [...groupIds].every((g) => ledGroupIds.has(g));
         });
     }
 
@@ -332,14 +332,18 @@
     async #startRelays(): Promise<void> {
         const { members, workerZones, dir, callers, groups, heartbeatMs, electionMs } =
             this.#options;
-        const sources = [...members.map((m) => m.id), ...workerZones.map(createHostId), CALLER];
+        const sources = [
+            ...members.map((m) => m.id),
+            ...workerZones.map(createWorkerHostId),
+            CALLER,
+        ];
         for (const from of sources) {
             for (const { id: to } of members) {
                 this.#relays.set(`${from}>${to}`, await FaultRelay.start());
             }
         }
         for (const { id } of members) {
-            const file = {
+            const deployment = {
                 members: members.map((m) => ({
                     ...m,
                     address: this.#getRelay(id, m.id).address,
@@ -349,7 +353,7 @@
                 heartbeatMs,
                 electionMs,
             };
-            writeFileSync(join(dir, `deployment-${id}.yaml`), stringify(file));
+            writeFileSync(join(dir, `deployment-${id}.yaml`), stringify(deployment));
         }
     }
 
@@ -362,28 +366,28 @@
     }
 }
 
-function createHostId(zone: string): string {
+function createWorkerHostId(zone: string): string {
     return `workers-${zone}`;
 }
 
 /**
  * Waits until a condition holds.
  *
- * @param what The condition in words, for the error.
+ * @param condition The condition in words, for the error.
  * @param isMet Tells whether it holds.
  * @param timeoutMs How long to wait, in ms.
  * @throws {Error} When it does not hold in time.
  */
 export async function waitUntil(
-    what: string,
+    condition: string,
     isMet: () => boolean | Promise<boolean>,
-    timeoutMs = WAIT_MS,
+    timeoutMs = DEFAULT_WAIT_TIMEOUT_MS,
 ): Promise<void> {
-    const until = Date.now() + timeoutMs;
+    const deadlineMs = Date.now() + timeoutMs;
     while (!(await isMet())) {
-        if (Date.now() > until) {
-            throw new Error(`not within ${timeoutMs} ms: ${what}`);
+        if (Date.now() > deadlineMs) {
+            throw new Error(`not within ${timeoutMs} ms: ${condition}`);
         }
-        await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+        await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
 }
--- a/load/mix.ts
+++ b/load/mix.ts
@@ -14,7 +14,7 @@
 import type { RequestSpec } from "../cell/mod.ts";
 import { createId, type CustomerId, type ServiceId } from "../inventory/mod.ts";
 
-interface KindShare {
+interface KindProfile {
     readonly kind: string;
     readonly share: number;
     readonly cores: number;
@@ -25,9 +25,9 @@
 }
 
 /** Callers that a deployment's requests come from in turn. */
-const CONSOLES = 24;
+const CALLER_COUNT = 24;
 
-const MIXES: Record<string, { service: string; kinds: readonly KindShare[] }> = {
+const MIXES: Record<string, { service: string; kinds: readonly KindProfile[] }> = {
     umhlanga: {
         service: "studio-intake",
         kinds: [
@@ -134,11 +134,11 @@
  * Builds `n` requests of a deployment's mix, the same for the same seed.
  *
  * @param deployment "umhlanga" or "caruaru".
- * @param n How many requests.
+ * @param count How many requests.
  * @param seed The seed of the choice of kinds and run times.
  * @returns The specs; declared run times are off by up to a factor of 3 either way.
  */
-export function buildMix(deployment: string, n: number, seed = 1): RequestSpec[] {
+export function buildMix(deployment: string, count: number, seed = 1): RequestSpec[] {
     const mix = MIXES[deployment];
     if (mix === undefined) {
         throw new Error(`no mix for deployment ${deployment}`);
@@ -148,12 +148,13 @@
         state = (state * 1_103_515_245 + 12_345) % 2 ** 31;
         return state / 2 ** 31;
     };
-    return Array.from({ length: n }, (_, i) => {
-        let pick = random();
-        const kind = mix.kinds.find((k) => (pick -= k.share) < 0) ?? (mix.kinds[0] as KindShare);
+    return Array.from({ length: count }, (_, i) => {
+        let remainder = random();
+        const kind =
+            mix.kinds.find((k) => (remainder -= k.share) < 0) ?? (mix.kinds[0] as KindProfile);
         const declaredFactor = 1 / 3 + random() * (3 - 1 / 3);
         return {
-            caller: `${deployment}-console-${i % CONSOLES}`,
+            caller: `${deployment}-console-${i % CALLER_COUNT}`,
             key: `${deployment}-${seed}-${i}`,
             kind: kind.kind,
             service: createId<ServiceId>(mix.service),
--- a/load/process_stats.ts
+++ b/load/process_stats.ts
@@ -13,7 +13,7 @@
 import { readFileSync } from "node:fs";
 
 /** Clock ticks per second of `/proc/<pid>/stat` on Linux. */
-const CLOCK_TICKS = 100;
+const CLOCK_TICKS_PER_SECOND = 100;
 
 /** One reading of a process. */
 export interface ProcessStats {
@@ -36,7 +36,7 @@
         const cpuTicks = Number(fields[11]) + Number(fields[12]);
         const status = readFileSync(`/proc/${pid}/status`, "utf8");
         const rssKb = Number(/VmRSS:\s+(\d+)/.exec(status)?.[1] ?? 0);
-        return { cpuSeconds: cpuTicks / CLOCK_TICKS, rssBytes: rssKb * 1_024 };
+        return { cpuSeconds: cpuTicks / CLOCK_TICKS_PER_SECOND, rssBytes: rssKb * 1_024 };
     } catch {
         return { cpuSeconds: 0, rssBytes: 0 };
     }
--- a/load/run_load.ts
+++ b/load/run_load.ts
@@ -36,11 +36,11 @@
     umhlanga: "studio-intake",
     caruaru: "cerimonia",
 };
-const SEND_EVERY_MS = 20;
-const SAMPLE_EVERY_MS = 250;
+const SEND_INTERVAL_MS = 20;
+const SAMPLE_INTERVAL_MS = 250;
 
 /** Waiting time of one class, in ms. */
-export interface WaitFigures {
+export interface WaitSummary {
     readonly p50: number;
     readonly p99: number;
     readonly max: number;
@@ -48,7 +48,7 @@
 }
 
 /** Cost of one of our processes over the run. */
-export interface ProcessCost {
+export interface ProcessUsage {
     readonly role: string;
     /** Share of one core, 0 to 1 (and more for several threads). */
     readonly cpuShare: number;
@@ -60,11 +60,11 @@
     readonly experiment: Experiment;
     readonly requests: number;
     readonly states: Record<string, number>;
-    readonly waitMsByClass: Record<string, WaitFigures>;
+    readonly waitMsByClass: Record<string, WaitSummary>;
     readonly placementsPerSecond: number;
     readonly packingWhileQueued: number;
     readonly packingMean: number;
-    readonly processes: readonly ProcessCost[];
+    readonly processes: readonly ProcessUsage[];
     /** Who led which group at the end. */
     readonly leaders: readonly string[];
     readonly entryBytesPerSecond: readonly {
@@ -84,7 +84,7 @@
 }
 
 /** The cell's state summed over its groups' leaders. */
-interface CellFigures {
+interface CellStats {
     readonly packingCores: number;
     readonly queued: number;
     readonly placements: number;
@@ -103,10 +103,10 @@
     experiment: Experiment,
     options: RunOptions,
 ): Promise<LoadReport> {
-    const examples = fileURLToPath(
+    const examplesDir = fileURLToPath(
         new URL(`../examples/${experiment.deployment}/`, import.meta.url),
     );
-    const rulesFile = join(examples, "rules.yaml");
+    const rulesFile = join(examplesDir, "rules.yaml");
     const inventoryFile = join(options.dir, "inventory.yaml");
     const deployment = {
         cell: experiment.deployment,
@@ -119,14 +119,14 @@
     const failing = inventory.racks
         .flatMap((r) => r.instances.map((i) => i.id))
         .slice(0, experiment.failingWorkers);
-    const classes = buildClassOfKind(rulesFile);
+    const classes = loadClassByKind(rulesFile);
     const files = { inventoryFile, rulesFile, dir: options.dir, failing };
     const cell =
         experiment.instances === 1
             ? await spawnCell({ ...files, zones: deployment.zones })
             : await startCluster(experiment, files, deployment.zones);
     try {
-        return await runDriver(experiment, cell, classes, options);
+        return await runWorkload(experiment, cell, classes, options);
     } finally {
         await cell.stop();
     }
@@ -157,7 +157,7 @@
 }
 
 /** Sums the statuses: each group counts once, at the instance that leads it. */
-async function measureCell(cell: SpawnedCell): Promise<CellFigures> {
+async function measureCell(cell: SpawnedCell): Promise<CellStats> {
     const statuses = await cell.listStatuses();
     const cells = statuses.flatMap((s) =>
         s.groups.flatMap((g) => (g.serving && g.cell !== undefined ? [g.cell] : [])),
@@ -172,7 +172,7 @@
     };
 }
 
-async function runDriver(
+async function runWorkload(
     experiment: Experiment,
     cell: SpawnedCell,
     classes: ReadonlyMap<string, string>,
@@ -181,48 +181,48 @@
     const total = Math.round((experiment.ratePerSecond * experiment.durationMs) / 1_000);
     const specs = buildMix(experiment.deployment, total, experiment.seed);
     const callers = createCallers(cell.entry, experiment.drainMs);
-    const started = Date.now();
+    const startedAtMs = Date.now();
     const pids = [...cell.pids.values()];
     const cpuBefore = pids.map((pid) => readProcessStats(pid).cpuSeconds);
-    const maxRss = pids.map(() => 0);
+    const maxRssBytes = pids.map(() => 0);
     const before = await measureCell(cell);
-    const packing: number[] = [];
-    const packingQueued: number[] = [];
+    const packingSamples: number[] = [];
+    const packingSamplesWhileQueued: number[] = [];
     const sampler = setInterval(() => {
         pids.forEach((pid, i) => {
-            maxRss[i] = Math.max(maxRss[i] ?? 0, readProcessStats(pid).rssBytes);
+            maxRssBytes[i] = Math.max(maxRssBytes[i] ?? 0, readProcessStats(pid).rssBytes);
         });
-        void measureCell(cell).then((figures) => {
-            packing.push(figures.packingCores);
-            if (figures.queued > 0) {
-                packingQueued.push(figures.packingCores);
+        void measureCell(cell).then((stats) => {
+            packingSamples.push(stats.packingCores);
+            if (stats.queued > 0) {
+                packingSamplesWhileQueued.push(stats.packingCores);
             }
         });
-    }, SAMPLE_EVERY_MS);
+    }, SAMPLE_INTERVAL_MS);
     const progress = setInterval(() => {
         options.onProgress?.(
-            `${experiment.name}: ${Math.round((Date.now() - started) / 1_000)} s, ${accepted.length}/${total} sent`,
+            `${experiment.name}: ${Math.round((Date.now() - startedAtMs) / 1_000)} s, ${accepted.length}/${total} sent`,
         );
     }, 1_000);
     const accepted: Promise<RequestStatus>[] = [];
     let random = experiment.seed;
     await new Promise<void>((resolve) => {
         const sender = setInterval(() => {
-            const due = Math.min(
+            const dueCount = Math.min(
                 total,
-                Math.round(((Date.now() - started) * experiment.ratePerSecond) / 1_000),
+                Math.round(((Date.now() - startedAtMs) * experiment.ratePerSecond) / 1_000),
             );
-            while (accepted.length < due) {
+            while (accepted.length < dueCount) {
                 const spec = specs[accepted.length];
                 if (spec === undefined) {
                     break;
                 }
                 random = (random * 1_103_515_245 + 12_345) % 2 ** 31;
-                const cancel = random / 2 ** 31 < experiment.cancelShare;
+                const shouldCancel = random / 2 ** 31 < experiment.cancelShare;
                 const caller = callers[accepted.length % callers.length] as Caller;
                 accepted.push(
                     caller.submit(spec).then(async (answer) => {
-                        if (cancel) {
+                        if (shouldCancel) {
                             await caller.cancel(answer.requestId).catch(() => undefined);
                         }
                         return answer;
@@ -233,33 +233,33 @@
                 clearInterval(sender);
                 resolve();
             }
-        }, SEND_EVERY_MS);
+        }, SEND_INTERVAL_MS);
     });
-    const until = Date.now() + experiment.drainMs;
+    const deadlineMs = Date.now() + experiment.drainMs;
     const answers = await Promise.all(
         accepted.map(async (a, i) =>
-            (callers[i % callers.length] as Caller).waitFinal((await a).requestId, until),
+            (callers[i % callers.length] as Caller).waitFinal((await a).requestId, deadlineMs),
         ),
     );
     clearInterval(sampler);
     clearInterval(progress);
-    const elapsedMs = Date.now() - started;
+    const elapsedMs = Date.now() - startedAtMs;
     const after = await measureCell(cell);
     const seconds = elapsedMs / 1_000;
     return {
         experiment,
         requests: answers.length,
-        states: computeStates(answers),
+        states: countStates(answers),
         waitMsByClass: summarizeWaits(answers, classes),
         placementsPerSecond: Math.round((after.placements - before.placements) / seconds),
-        packingWhileQueued: computeMean(packingQueued),
-        packingMean: computeMean(packing),
+        packingWhileQueued: computeMean(packingSamplesWhileQueued),
+        packingMean: computeMean(packingSamples),
         processes: [...cell.pids].map(([role, pid], i) => ({
             role,
             cpuShare: Number(
                 ((readProcessStats(pid).cpuSeconds - (cpuBefore[i] ?? 0)) / seconds).toFixed(4),
             ),
-            maxRssMb: Math.round((maxRss[i] ?? 0) / 1_048_576),
+            maxRssMb: Math.round((maxRssBytes[i] ?? 0) / 1_048_576),
         })),
         leaders: (await cell.listStatuses()).flatMap((s) =>
             s.groups.filter((g) => g.serving).map((g) => `${g.id}: ${s.id}`),
@@ -276,22 +276,22 @@
 }
 
 /** One caller per entry instance, as a balancer would spread them. */
-function createCallers(entry: string, deadlineMs: number): Caller[] {
+function createCallers(entry: string, completionTimeoutMs: number): Caller[] {
     const entries = entry.split(",");
     return entries.map((_, i) => {
-        const inTurn = [...entries.slice(i), ...entries.slice(0, i)].join(",");
-        return new Caller({ entry: inTurn, deadlineMs });
+        const rotatedEntries = [...entries.slice(i), ...entries.slice(0, i)].join(",");
+        return new Caller({ entry: rotatedEntries, completionTimeoutMs });
     });
 }
 
-function buildClassOfKind(rulesFile: string): Map<string, string> {
+function loadClassByKind(rulesFile: string): Map<string, string> {
     const rules = parse(readFileSync(rulesFile, "utf8")) as {
         kinds: { name: string; class: string }[];
     };
     return new Map(rules.kinds.map((k) => [k.name, k.class]));
 }
 
-function computeStates(answers: readonly RequestStatus[]): Record<string, number> {
+function countStates(answers: readonly RequestStatus[]): Record<string, number> {
     const states: Record<string, number> = {};
     for (const answer of answers) {
         states[answer.state] = (states[answer.state] ?? 0) + 1;
@@ -302,7 +302,7 @@
 function summarizeWaits(
     answers: readonly RequestStatus[],
     classes: ReadonlyMap<string, string>,
-): Record<string, WaitFigures> {
+): Record<string, WaitSummary> {
     const histograms = new Map<string, hdr.Histogram>();
     for (const answer of answers) {
         if (answer.startedAt === undefined) {
--- a/standin/caller.ts
+++ b/standin/caller.ts
@@ -21,26 +21,26 @@
     /** The entry instances, as {@link parseEntries} reads them. */
     readonly entry: string;
     /** How long it resends after lost answers before giving up, in ms. */
-    readonly resendMs?: number;
+    readonly resendTimeoutMs?: number;
     /** The longest wait for all requests to end, in ms. */
-    readonly deadlineMs?: number;
+    readonly completionTimeoutMs?: number;
 }
 
-const WAIT_MS = 10_000;
+const MAX_WAIT_CALL_MS = 10_000;
 
 /** A caller of a cell. */
 export class Caller {
     readonly #client: EntryClient;
-    readonly #resendMs: number;
-    readonly #deadlineMs: number;
+    readonly #resendTimeoutMs: number;
+    readonly #completionTimeoutMs: number;
 
     /**
      * @param options Where to send, how long to resend.
      */
     constructor(options: CallerOptions) {
         this.#client = new EntryClient({ entries: parseEntries(options.entry) });
-        this.#resendMs = options.resendMs ?? 15_000;
-        this.#deadlineMs = options.deadlineMs ?? 120_000;
+        this.#resendTimeoutMs = options.resendTimeoutMs ?? 15_000;
+        this.#completionTimeoutMs = options.completionTimeoutMs ?? 120_000;
     }
 
     /**
@@ -51,7 +51,11 @@
      * @throws {RpcError} When the cell refused the call (bad params, key reuse) or never answered.
      */
     submit(spec: RequestSpec): Promise<RequestStatus> {
-        return this.#client.sendUntil("request.submit", { spec }, Date.now() + this.#resendMs);
+        return this.#client.sendUntil(
+            "request.submit",
+            { spec },
+            Date.now() + this.#resendTimeoutMs,
+        );
     }
 
     /**
@@ -61,7 +65,11 @@
      * @returns The answer.
      */
     cancel(requestId: string): Promise<RequestStatus> {
-        return this.#client.sendUntil("request.cancel", { requestId }, Date.now() + this.#resendMs);
+        return this.#client.sendUntil(
+            "request.cancel",
+            { requestId },
+            Date.now() + this.#resendTimeoutMs,
+        );
     }
 
     /**
@@ -71,22 +79,22 @@
      * @returns Applied, a conflict, or rejected.
      */
     setRules(change: RulesChange): Promise<RulesChangeResult> {
-        return this.#client.sendUntil("rules.set", { change }, Date.now() + this.#resendMs);
+        return this.#client.sendUntil("rules.set", { change }, Date.now() + this.#resendTimeoutMs);
     }
 
     /**
      * Waits until a request is final, asking again as the cell advises.
      *
      * @param requestId The request.
-     * @param until A time (ms) after which the last answer is returned as it is.
+     * @param deadlineMs A time (ms) after which the last answer is returned as it is.
      * @returns The last answer.
      * @throws {RpcError} When no entry instance answers any more.
      */
-    async waitFinal(requestId: string, until: number): Promise<RequestStatus> {
+    async waitFinal(requestId: string, deadlineMs: number): Promise<RequestStatus> {
         for (;;) {
-            const timeoutMs = Math.max(0, Math.min(WAIT_MS, until - Date.now()));
-            const answer = await this.#waitOnce(requestId, timeoutMs, until);
-            if (answer.final || Date.now() >= until) {
+            const timeoutMs = Math.max(0, Math.min(MAX_WAIT_CALL_MS, deadlineMs - Date.now()));
+            const answer = await this.#waitOnce(requestId, timeoutMs, deadlineMs);
+            if (answer.final || Date.now() >= deadlineMs) {
                 return answer;
             }
         }
@@ -100,8 +108,8 @@
      */
     async runAll(specs: readonly RequestSpec[]): Promise<RequestStatus[]> {
         const accepted = await Promise.all(specs.map((spec) => this.submit(spec)));
-        const until = Date.now() + this.#deadlineMs;
-        return Promise.all(accepted.map((a) => this.waitFinal(a.requestId, until)));
+        const deadlineMs = Date.now() + this.#completionTimeoutMs;
+        return Promise.all(accepted.map((a) => this.waitFinal(a.requestId, deadlineMs)));
     }
 
     /** Bytes this caller sent and received. */
@@ -109,7 +117,11 @@
         return this.#client.bytes;
     }
 
-    async #waitOnce(requestId: string, timeoutMs: number, until: number): Promise<RequestStatus> {
+    async #waitOnce(
+        requestId: string,
+        timeoutMs: number,
+        deadlineMs: number,
+    ): Promise<RequestStatus> {
         const params = { requestId, timeoutMs };
         try {
             return await this.#client.send<RequestStatus>(
@@ -118,11 +130,11 @@
                 timeoutMs + 3_000,
             );
         } catch (error) {
-            if (Date.now() >= until) {
+            if (Date.now() >= deadlineMs) {
                 throw error;
             }
             await new Promise((resolve) => setTimeout(resolve, 200));
-            return this.#client.sendUntil<RequestStatus>("request.fate", { requestId }, until);
+            return this.#client.sendUntil<RequestStatus>("request.fate", { requestId }, deadlineMs);
         }
     }
 }
--- a/standin/entry_client.ts
+++ b/standin/entry_client.ts
@@ -41,7 +41,7 @@
 }
 
 /** The error codes after which another entry instance is tried. */
-const ELSEWHERE_CODES: ReadonlySet<number> = new Set([
+const FAILOVER_CODES: ReadonlySet<number> = new Set([
     0,
     NO_LEADER_CODE,
     NOT_LEADER_CODE,
@@ -60,10 +60,10 @@
         .split(",")
         .filter((item) => item !== "")
         .map((item) => {
-            const at = item.indexOf("=");
-            return at < 0
+            const separatorIndex = item.indexOf("=");
+            return separatorIndex < 0
                 ? { id: item, address: item }
-                : { id: item.slice(0, at), address: item.slice(at + 1) };
+                : { id: item.slice(0, separatorIndex), address: item.slice(separatorIndex + 1) };
         });
 }
 
@@ -71,7 +71,7 @@
 export class EntryClient {
     readonly #entries: readonly EntryAddress[];
     readonly #clients: readonly RpcClient[];
-    #current = 0;
+    #currentIndex = 0;
 
     /**
      * @param options The entry instances, the timeout.
@@ -99,12 +99,16 @@
      * @throws {RpcError} The entry instance's error, or code 0 when it did not answer.
      */
     async send<T>(method: string, params: object, callTimeoutMs?: number): Promise<T> {
-        const used = this.#current;
+        const usedIndex = this.#currentIndex;
         try {
-            return await (this.#clients[used] as RpcClient).call<T>(method, params, callTimeoutMs);
+            return await (this.#clients[usedIndex] as RpcClient).call<T>(
+                method,
+                params,
+                callTimeoutMs,
+            );
         } catch (error) {
-            if (error instanceof RpcError && ELSEWHERE_CODES.has(error.code)) {
-                this.#selectNext(used, error);
+            if (error instanceof RpcError && FAILOVER_CODES.has(error.code)) {
+                this.#selectNext(usedIndex, error);
             }
             throw error;
         }
@@ -116,17 +120,17 @@
      *
      * @param method The method.
      * @param params Its params.
-     * @param until When to give up, in ms since the epoch.
+     * @param deadlineMs When to give up, in ms since the epoch.
      * @returns The result.
      * @throws {RpcError} The last error.
      */
-    async sendUntil<T>(method: string, params: object, until: number): Promise<T> {
+    async sendUntil<T>(method: string, params: object, deadlineMs: number): Promise<T> {
         for (let attempt = 1; ; attempt++) {
             try {
                 return await this.send<T>(method, params);
             } catch (error) {
-                const isElsewhere = error instanceof RpcError && ELSEWHERE_CODES.has(error.code);
-                if (!isElsewhere || Date.now() >= until) {
+                const isRetryable = error instanceof RpcError && FAILOVER_CODES.has(error.code);
+                if (!isRetryable || Date.now() >= deadlineMs) {
                     throw error;
                 }
                 await this.#waitRetry(attempt, error);
@@ -134,23 +138,26 @@
         }
     }
 
-    #selectNext(used: number, error: RpcError): void {
-        if (this.#current !== used) {
+    #selectNext(usedIndex: number, error: RpcError): void {
+        if (this.#currentIndex !== usedIndex) {
             return;
         }
         const leader = (error.data as NoLeaderData | undefined)?.leader;
-        const named = this.#entries.findIndex((e) => e.id === leader);
-        this.#current = named >= 0 && named !== used ? named : (used + 1) % this.#entries.length;
+        const leaderIndex = this.#entries.findIndex((e) => e.id === leader);
+        this.#currentIndex =
+            leaderIndex >= 0 && leaderIndex !== usedIndex
+                ? leaderIndex
+                : (usedIndex + 1) % this.#entries.length;
     }
 
     /** Waits as told, but not before every other instance had its turn. */
     async #waitRetry(attempt: number, error: RpcError): Promise<void> {
-        const hinted = (error.data as NoLeaderData | undefined)?.leader !== undefined;
-        if (hinted || attempt % this.#entries.length !== 0) {
+        const isLeaderKnown = (error.data as NoLeaderData | undefined)?.leader !== undefined;
+        if (isLeaderKnown || attempt % this.#entries.length !== 0) {
             await new Promise((resolve) => setTimeout(resolve, 20));
             return;
         }
-        const told = (error.data as NoLeaderData | undefined)?.retryAfterMs ?? 200;
-        await new Promise((resolve) => setTimeout(resolve, told));
+        const delayMs = (error.data as NoLeaderData | undefined)?.retryAfterMs ?? 200;
+        await new Promise((resolve) => setTimeout(resolve, delayMs));
     }
 }
--- a/standin/fault_relay.ts
+++ b/standin/fault_relay.ts
@@ -59,8 +59,11 @@
      * @param address `host:port`.
      */
     setTarget(address: string): void {
-        const at = address.lastIndexOf(":");
-        this.#target = { host: address.slice(0, at), port: Number(address.slice(at + 1)) };
+        const separatorIndex = address.lastIndexOf(":");
+        this.#target = {
+            host: address.slice(0, separatorIndex),
+            port: Number(address.slice(separatorIndex + 1)),
+        };
     }
 
     /**
@@ -69,9 +72,9 @@
      * @param mode What to do with bytes from now on.
      */
     setMode(mode: RelayMode): void {
-        const closes = mode === "refuse" || (mode === "open" && this.#mode === "silent");
+        const shouldClose = mode === "refuse" || (mode === "open" && this.#mode === "silent");
         this.#mode = mode;
-        if (closes) {
+        if (shouldClose) {
             this.#closeSockets();
         }
     }
--- a/standin/task_worker.ts
+++ b/standin/task_worker.ts
@@ -29,12 +29,12 @@
 export interface TaskRun {
     readonly task: string;
     readonly attempt: number;
-    readonly startedAt: number;
+    readonly startedAtMs: number;
     /** When the work is done, by our clock; infinite for one that hangs. */
-    readonly doneAt: number;
-    readonly room: Resources;
+    readonly finishesAtMs: number;
+    readonly demand: Resources;
     /** When a stop takes effect, if one was ordered. */
-    stopsAt: number | undefined;
+    stopsAtMs: number | undefined;
 }
 
 /** Options of {@link TaskWorker}. */
@@ -45,19 +45,19 @@
     /** How long a task runs, in ms. */
     readonly computeTaskMs: (task: string) => number;
     /** What a task needs. */
-    readonly getRoom: (task: string) => Resources;
+    readonly getDemand: (task: string) => Resources;
     /** How a task ends by itself. */
-    readonly getEnd?: (task: string) => MemberOutcome;
+    readonly getOutcome?: (task: string) => MemberOutcome;
     /** What a task reports as its load. */
     readonly getLoad?: (task: string) => number;
     /** This worker's clock runs so much slower than ours (0.02 for 2%). */
     readonly clockDrift?: number;
     /** How long a stop takes, in ms. */
-    readonly stopMs?: number;
+    readonly stopDelayMs?: number;
     /** The longest lease it grants, in ms. */
     readonly maxLeaseMs?: number;
     /** Told of each run that begins and ends here. */
-    readonly onRun?: (run: TaskRun) => void;
+    readonly onStart?: (run: TaskRun) => void;
     readonly onEnd?: (run: TaskRun, how: MemberOutcome) => void;
     /** Told of each end that it may forget. */
     readonly onAcknowledge?: (end: EndReport) => void;
@@ -71,11 +71,11 @@
     readonly #options: TaskWorkerOptions;
     readonly #runs = new Map<string, TaskRun>();
     /** The highest attempt stopped or ended here, per task. */
-    readonly #closed = new Map<string, number>();
-    #ended: EndReport[] = [];
+    readonly #highestEndedAttempt = new Map<string, number>();
+    #unacknowledgedEnds: EndReport[] = [];
     #endCount = 0;
-    #fence = 0;
-    #leaseUntil = Number.NEGATIVE_INFINITY;
+    #highestFence = 0;
+    #leaseUntilMs = Number.NEGATIVE_INFINITY;
     isDead = false;
 
     /**
@@ -98,10 +98,10 @@
     /** What the runs take. */
     get used(): Resources {
         const sum = { cpu: 0, memoryMb: 0, gpu: 0 };
-        for (const { room } of this.#runs.values()) {
-            sum.cpu += room.cpu;
-            sum.memoryMb += room.memoryMb;
-            sum.gpu += room.gpu;
+        for (const { demand } of this.#runs.values()) {
+            sum.cpu += demand.cpu;
+            sum.memoryMb += demand.memoryMb;
+            sum.gpu += demand.gpu;
         }
         return sum;
     }
@@ -110,11 +110,11 @@
     advance(): void {
         const now = this.#options.getNow();
         for (const run of [...this.#runs.values()]) {
-            if (run.stopsAt !== undefined && run.stopsAt <= now) {
+            if (run.stopsAtMs !== undefined && run.stopsAtMs <= now) {
                 this.#endRun(run, "stopped");
-            } else if (run.doneAt <= now) {
-                this.#endRun(run, this.#options.getEnd?.(run.task) ?? "done");
-            } else if (this.clockMs > this.#leaseUntil) {
+            } else if (run.finishesAtMs <= now) {
+                this.#endRun(run, this.#options.getOutcome?.(run.task) ?? "done");
+            } else if (this.clockMs > this.#leaseUntilMs) {
                 this.#endRun(run, "lapsed");
             }
         }
@@ -135,23 +135,23 @@
         if (running?.attempt === order.attempt) {
             return { type: "accepted", clockMs: this.clockMs };
         }
-        const isOld =
-            order.attempt <= (this.#closed.get(order.task) ?? 0) ||
+        const isSuperseded =
+            order.attempt <= (this.#highestEndedAttempt.get(order.task) ?? 0) ||
             order.attempt < (running?.attempt ?? 0);
-        if (isOld) {
+        if (isSuperseded) {
             return { type: "refused", reason: "superseded", clockMs: this.clockMs };
         }
         const now = this.#options.getNow();
         const run: TaskRun = {
             task: order.task,
             attempt: order.attempt,
-            startedAt: now,
-            doneAt: now + this.#options.computeTaskMs(order.task),
-            room: this.#options.getRoom(order.task),
-            stopsAt: undefined,
+            startedAtMs: now,
+            finishesAtMs: now + this.#options.computeTaskMs(order.task),
+            demand: this.#options.getDemand(order.task),
+            stopsAtMs: undefined,
         };
         this.#runs.set(order.task, run);
-        this.#options.onRun?.(run);
+        this.#options.onStart?.(run);
         return { type: "accepted", clockMs: this.clockMs };
     }
 
@@ -164,16 +164,17 @@
         }
         const run = this.#runs.get(order.task);
         if (run?.attempt === order.attempt) {
-            run.stopsAt ??= this.#options.getNow() + (this.#options.stopMs ?? DEFAULT_STOP_MS);
+            run.stopsAtMs ??=
+                this.#options.getNow() + (this.#options.stopDelayMs ?? DEFAULT_STOP_MS);
         } else {
-            const closed = this.#closed.get(order.task) ?? 0;
-            this.#closed.set(order.task, Math.max(closed, order.attempt));
+            const highestEnded = this.#highestEndedAttempt.get(order.task) ?? 0;
+            this.#highestEndedAttempt.set(order.task, Math.max(highestEnded, order.attempt));
         }
         return { type: "accepted", clockMs: this.clockMs };
     }
 
     /** Takes a look; it does not wait for an end. */
-    look(order: PollOrder): PollAnswer {
+    poll(order: PollOrder): PollAnswer {
         this.advance();
         const refusal = this.#checkOrder(order.worker, order.fence);
         if (refusal?.type === "refused" || refusal?.type === "gone") {
@@ -182,10 +183,12 @@
         if (order.untilMs !== undefined) {
             this.#extendLease(order.untilMs);
         }
-        this.#ended
+        this.#unacknowledgedEnds
             .filter((end) => end.number <= order.cursor)
             .forEach((end) => this.#options.onAcknowledge?.(end));
-        this.#ended = this.#ended.filter((end) => end.number > order.cursor);
+        this.#unacknowledgedEnds = this.#unacknowledgedEnds.filter(
+            (end) => end.number > order.cursor,
+        );
         return {
             type: "state",
             clockMs: this.clockMs,
@@ -196,7 +199,7 @@
                 percent: this.#computePercent(run),
                 load: this.#options.getLoad?.(run.task) ?? 0,
             })),
-            ended: this.#ended,
+            ended: this.#unacknowledgedEnds,
         };
     }
 
@@ -204,34 +207,37 @@
         if (worker !== this.#options.id) {
             return { type: "gone" };
         }
-        if (fence < this.#fence) {
+        if (fence < this.#highestFence) {
             return { type: "refused", reason: "fence", clockMs: this.clockMs };
         }
-        this.#fence = fence;
+        this.#highestFence = fence;
         return undefined;
     }
 
-    #extendLease(until: number): void {
-        const longest = this.clockMs + (this.#options.maxLeaseMs ?? DEFAULT_MAX_LEASE_MS);
-        this.#leaseUntil = Math.max(this.#leaseUntil, Math.min(until, longest));
+    #extendLease(untilMs: number): void {
+        const latestMs = this.clockMs + (this.#options.maxLeaseMs ?? DEFAULT_MAX_LEASE_MS);
+        this.#leaseUntilMs = Math.max(this.#leaseUntilMs, Math.min(untilMs, latestMs));
     }
 
     #computePercent(run: TaskRun): number {
-        const whole = run.doneAt - run.startedAt;
-        return Math.min(99, Math.floor((100 * (this.#options.getNow() - run.startedAt)) / whole));
+        const totalMs = run.finishesAtMs - run.startedAtMs;
+        return Math.min(
+            99,
+            Math.floor((100 * (this.#options.getNow() - run.startedAtMs)) / totalMs),
+        );
     }
 
-    #endRun(run: TaskRun, how: MemberOutcome): void {
+    #endRun(run: TaskRun, outcome: MemberOutcome): void {
         this.#runs.delete(run.task);
-        this.#closed.set(run.task, run.attempt);
+        this.#highestEndedAttempt.set(run.task, run.attempt);
         this.#endCount += 1;
-        this.#ended.push({
+        this.#unacknowledgedEnds.push({
             number: this.#endCount,
             task: run.task,
             attempt: run.attempt,
-            how,
+            how: outcome,
             checkpoint: "",
         });
-        this.#options.onEnd?.(run, how);
+        this.#options.onEnd?.(run, outcome);
     }
 }
--- a/standin/virtual_time.ts
+++ b/standin/virtual_time.ts
@@ -13,14 +13,14 @@
  * @module
  */
 
-interface Event {
-    readonly at: number;
+interface ScheduledEvent {
+    readonly atMs: number;
     readonly run: () => void;
 }
 
 /** A clock and its events. */
 export class VirtualTime {
-    readonly #events: Event[] = [];
+    readonly #events: ScheduledEvent[] = [];
     #now = 0;
 
     /** The time, in ms since the start. */
@@ -35,12 +35,12 @@
      * @param run What is done.
      */
     schedule(delayMs: number, run: () => void): void {
-        const event = { at: this.#now + delayMs, run };
+        const event = { atMs: this.#now + delayMs, run };
         // Behind every event of the same time: the order of scheduling is kept.
         let [low, high] = [0, this.#events.length];
         while (low < high) {
             const middle = (low + high) >>> 1;
-            const isBefore = (this.#events[middle]?.at ?? 0) <= event.at;
+            const isBefore = (this.#events[middle]?.atMs ?? 0) <= event.atMs;
             [low, high] = isBefore ? [middle + 1, high] : [low, middle];
         }
         this.#events.splice(low, 0, event);
@@ -49,21 +49,21 @@
     /**
      * Lets time pass.
      *
-     * @param ms How much, in ms.
+     * @param durationMs How much, in ms.
      * @param onEvent Called after each event.
      */
-    runFor(ms: number, onEvent: () => void = () => {}): void {
-        const end = this.#now + ms;
+    runFor(durationMs: number, onEvent: () => void = () => {}): void {
+        const endMs = this.#now + durationMs;
         for (;;) {
             const next = this.#events[0];
-            if (next === undefined || next.at > end) {
+            if (next === undefined || next.atMs > endMs) {
                 break;
             }
             this.#events.shift();
-            this.#now = Math.max(this.#now, next.at);
+            this.#now = Math.max(this.#now, next.atMs);
             next.run();
             onEvent();
         }
-        this.#now = end;
+        this.#now = endMs;
     }
 }
--- a/standin/worker_agent.ts
+++ b/standin/worker_agent.ts
@@ -34,7 +34,7 @@
     /** The worker process; a restarted one gives another. */
     readonly incarnation?: string;
     /** Every task it starts fails shortly after. */
-    readonly failEverything?: boolean;
+    readonly failAllTasks?: boolean;
     /** Use is reported only after a task ran this long, in ms. */
     readonly usageLagMs?: number;
 }
@@ -49,9 +49,9 @@
 
 interface RunningTask {
     readonly message: GrantMessage;
-    readonly startedAt: number;
+    readonly startedAtMs: number;
     /** When the entry instances last acknowledged a heartbeat that listed this lease. */
-    renewedAt: number;
+    renewedAtMs: number;
 }
 
 /** The agent's answer to a lease offer. */
@@ -69,16 +69,16 @@
 export class WorkerAgent {
     readonly instance: InstanceId;
     readonly #capacity: Resources;
-    readonly #failEverything: boolean;
+    readonly #failAllTasks: boolean;
     readonly #usageLagMs: number;
     readonly #running = new Map<LeaseId, RunningTask>();
     readonly #highestEpoch = new Map<TaskId, number>();
     readonly #replies = new Map<LeaseId, { readonly reply: LeaseReply; readonly at: number }>();
     readonly #incarnation: string;
-    #held: Resources = NO_RESOURCES;
+    #heldResources: Resources = NO_RESOURCES;
     #reports: AgentReport[] = [];
     /** Tasks started, for tests and invariant checks. */
-    readonly started: { lease: LeaseId; task: TaskId; epoch: number; at: number }[] = [];
+    readonly startedTasks: { lease: LeaseId; task: TaskId; epoch: number; at: number }[] = [];
 
     /**
      * @param options Instance, capacity and behaviour.
@@ -87,7 +87,7 @@
         this.instance = options.instance;
         this.#capacity = options.capacity;
         this.#incarnation = options.incarnation ?? "";
-        this.#failEverything = options.failEverything ?? false;
+        this.#failAllTasks = options.failAllTasks ?? false;
         this.#usageLagMs = options.usageLagMs ?? 200;
     }
 
@@ -99,9 +99,9 @@
      * @returns Accepted, or declined with the reason; an accepted task starts at once.
      */
     acceptLease(message: GrantMessage, now: number): LeaseReply {
-        const earlier = this.#replies.get(message.lease);
-        if (earlier !== undefined) {
-            return earlier.reply;
+        const previous = this.#replies.get(message.lease);
+        if (previous !== undefined) {
+            return previous.reply;
         }
         const refusal = this.#findRefusal(message, now);
         if (refusal !== undefined) {
@@ -113,11 +113,15 @@
         const reply: LeaseReply = { lease: message.lease, status: "accepted", reason: "" };
         this.#replies.set(message.lease, { reply, at: now });
         this.#highestEpoch.set(message.task, message.epoch);
-        this.#held = addResources(this.#held, message.demand);
+        this.#heldResources = addResources(this.#heldResources, message.demand);
         // The lease counts from the heartbeat that the offer goes by, not from its arrival: the
         // sender may have been frozen in between.
-        this.#running.set(message.lease, { message, startedAt: now, renewedAt: message.beatAt });
-        this.started.push({
+        this.#running.set(message.lease, {
+            message,
+            startedAtMs: now,
+            renewedAtMs: message.beatAt,
+        });
+        this.startedTasks.push({
             lease: message.lease,
             task: message.task,
             epoch: message.epoch,
@@ -143,7 +147,7 @@
             const reason = `stale offer: by a heartbeat of ${now - message.beatAt} ms ago`;
             return { lease, status: "declined", reason };
         }
-        if (!isFitting(addResources(this.#held, message.demand), this.#capacity)) {
+        if (!isFitting(addResources(this.#heldResources, message.demand), this.#capacity)) {
             return { lease, status: "declined", reason: "the instance has no room for it" };
         }
         return undefined;
@@ -171,7 +175,7 @@
         const { lease, epoch } = stop;
         if (this.#running.get(lease)?.message.epoch === epoch) {
             const detail = stop.mode === "checkpoint" ? "checkpointed and stopped" : "stopped";
-            this.#closeTask(lease, "stopped", detail);
+            this.#endTask(lease, "stopped", detail);
         } else if (!this.#replies.has(lease)) {
             const reason = "stopped before it started";
             this.#replies.set(lease, { reply: { lease, status: "declined", reason }, at: now });
@@ -184,25 +188,25 @@
      *
      * @param leases The leases.
      */
-    closeEnded(leases: readonly LeaseId[]): void {
+    stopEndedLeases(leases: readonly LeaseId[]): void {
         for (const lease of leases) {
-            this.#closeTask(lease, "stopped", "the lease had ended");
+            this.#endTask(lease, "stopped", "the lease had ended");
         }
     }
 
     /**
      * Notes that the entry instances took a heartbeat sent at `sentAt`: its leases are renewed.
      *
-     * @param sentAt When the heartbeat left, in ms.
+     * @param sentAtMs When the heartbeat left, in ms.
      * @param leases The leases it listed.
      */
-    renewLeases(sentAt: number, leases: readonly LeaseId[]): void {
+    renewLeases(sentAtMs: number, leases: readonly LeaseId[]): void {
         for (const lease of leases) {
             const task = this.#running.get(lease);
             // A lease that ran out is not brought back by a late answer: the worker may have been
             // frozen, and the task may run elsewhere by now.
-            if (task !== undefined && sentAt - task.renewedAt <= task.message.ttlMs) {
-                task.renewedAt = Math.max(task.renewedAt, sentAt);
+            if (task !== undefined && sentAtMs - task.renewedAtMs <= task.message.ttlMs) {
+                task.renewedAtMs = Math.max(task.renewedAtMs, sentAtMs);
             }
         }
     }
@@ -218,25 +222,21 @@
     tick(now: number): AgentReport[] {
         for (const [lease, task] of this.#running) {
             const { runMs, fail } = task.message.work;
-            if (now - task.renewedAt > task.message.ttlMs) {
-                this.#closeTask(lease, "stopped", "lease expired unrenewed; stopped by the worker");
-            } else if (this.#failEverything && now - task.startedAt >= Math.min(runMs || 50, 50)) {
-                this.#closeTask(lease, "failed", `worker ${this.instance} fails everything`);
-            } else if (runMs > 0 && now - task.startedAt >= runMs) {
-                this.#closeTask(
-                    lease,
-                    fail ? "failed" : "completed",
-                    fail ? "the task failed" : "",
-                );
+            if (now - task.renewedAtMs > task.message.ttlMs) {
+                this.#endTask(lease, "stopped", "lease expired unrenewed; stopped by the worker");
+            } else if (this.#failAllTasks && now - task.startedAtMs >= Math.min(runMs || 50, 50)) {
+                this.#endTask(lease, "failed", `worker ${this.instance} fails everything`);
+            } else if (runMs > 0 && now - task.startedAtMs >= runMs) {
+                this.#endTask(lease, fail ? "failed" : "completed", fail ? "the task failed" : "");
             }
         }
-        this.#removeOldReplies(now);
+        this.#removeExpiredReplies(now);
         const reports = this.#reports;
         this.#reports = [];
         return reports;
     }
 
-    #removeOldReplies(now: number): void {
+    #removeExpiredReplies(now: number): void {
         for (const [lease, { at }] of this.#replies) {
             if (now - at < REPLY_RETENTION_MS) {
                 break;
@@ -256,11 +256,11 @@
      * @param now The time in ms.
      * @returns The held leases.
      */
-    listHeld(now: number): HeldLease[] {
+    listHeldLeases(now: number): HeldLease[] {
         return [...this.#running.values()].map((task) => {
             const factor = Math.min(1, task.message.work.usageFactor);
             const usage =
-                now - task.startedAt >= this.#usageLagMs
+                now - task.startedAtMs >= this.#usageLagMs
                     ? {
                           cores: task.message.demand.cores * factor,
                           memoryMb: Math.round(task.message.demand.memoryMb * factor),
@@ -272,17 +272,17 @@
     }
 
     /** Resources held by running tasks. */
-    get held(): Resources {
-        return this.#held;
+    get heldResources(): Resources {
+        return this.#heldResources;
     }
 
-    #closeTask(lease: LeaseId, report: TaskReport, detail: string): void {
+    #endTask(lease: LeaseId, report: TaskReport, detail: string): void {
         const task = this.#running.get(lease);
         if (task === undefined) {
             return;
         }
         this.#running.delete(lease);
-        this.#held = removeResources(this.#held, task.message.demand);
+        this.#heldResources = removeResources(this.#heldResources, task.message.demand);
         this.#addReport(lease, task.message.epoch, report, detail);
     }
 }
--- a/standin/worker_agent_test.ts
+++ b/standin/worker_agent_test.ts
@@ -51,7 +51,7 @@
         reports.map((r) => r.report),
         ["stopped"],
     );
-    t.is(agent.held.cores, 0);
+    t.is(agent.heldResources.cores, 0);
 });
 
 test("a worker refuses an offer whose sender last heard it longer ago than the time to live", (t) => {
@@ -61,7 +61,7 @@
     const agent = buildAgent();
     const late = agent.acceptLease(buildLease(5, { beatAt: 0 }), 101);
     t.is(late.status, "declined");
-    t.is(agent.started.length, 0);
+    t.is(agent.startedTasks.length, 0);
 });
 
 test("a lease counts from the heartbeat the offer goes by, and a late answer does not revive it", (t) => {
@@ -83,7 +83,7 @@
     const agent = buildAgent("second");
     const reply = agent.acceptLease(buildLease(5, { incarnation: "first" }), 1);
     t.is(reply.status, "unknown");
-    t.is(agent.started.length, 0);
+    t.is(agent.startedTasks.length, 0);
 });
 
 test("a stop that overtakes its offer refuses the offer and reports that the task never started", (t) => {
--- a/standin/worker_host.ts
+++ b/standin/worker_host.ts
@@ -40,29 +40,32 @@
 
 type StopMessage = Extract<Effect, { type: "stop" }>;
 
-const ANNOUNCE_FOR_MS = 60_000;
+const ANNOUNCE_TIMEOUT_MS = 60_000;
 const REPORT_RETRY_MS = 200;
 
 /** Many stand-in workers in one process. */
 export class WorkerHost {
     readonly #options: WorkerHostOptions;
     readonly agents = new Map<InstanceId, WorkerAgent>();
-    readonly #entry: EntryClient;
+    readonly #entryClient: EntryClient;
     readonly #incarnation = ulid();
     readonly #log: Logger;
     #server: RpcServer | undefined;
     #subscriptions: Subscription[] = [];
-    #unreported: AgentReport[] = [];
-    #isReporting = false;
-    #isBeating = false;
-    #stopped = false;
+    #pendingReports: AgentReport[] = [];
+    #isSendingReports = false;
+    #isSendingHeartbeats = false;
+    #isStopped = false;
 
     /**
      * @param options The entry instances, the instances, timings.
      */
     constructor(options: WorkerHostOptions) {
         this.#options = options;
-        this.#entry = new EntryClient({ entries: parseEntries(options.entry), timeoutMs: 1_500 });
+        this.#entryClient = new EntryClient({
+            entries: parseEntries(options.entry),
+            timeoutMs: 1_500,
+        });
         this.#log =
             options.logger ??
             createLogger({
@@ -76,7 +79,7 @@
                     instance: instance.id,
                     capacity: instance.capacity,
                     incarnation: this.#incarnation,
-                    failEverything: options.failing?.has(instance.id) ?? false,
+                    failAllTasks: options.failing?.has(instance.id) ?? false,
                 }),
             );
         }
@@ -98,7 +101,7 @@
         await this.#announce([...this.agents.keys()]);
         this.#subscriptions.push(
             interval(this.#options.tickMs ?? 10).subscribe(() => this.#runTick()),
-            interval(this.#options.heartbeatMs ?? 500).subscribe(() => void this.#sendBeats()),
+            interval(this.#options.heartbeatMs ?? 500).subscribe(() => void this.#sendHeartbeats()),
         );
         this.#log.info("workers announced", { address, workers: this.agents.size });
         return address;
@@ -106,11 +109,11 @@
 
     /** Announces that the workers leave, then stops. Running tasks end with the process. */
     async stop(): Promise<void> {
-        this.#stopped = true;
+        this.#isStopped = true;
         for (const subscription of this.#subscriptions) {
             subscription.unsubscribe();
         }
-        await this.#entry
+        await this.#entryClient
             .sendUntil("workers.leave", { instances: [...this.agents.keys()] }, Date.now() + 1_000)
             .catch(() => undefined);
         await this.#server?.close();
@@ -118,30 +121,30 @@
 
     #announce(instances: readonly InstanceId[]): Promise<unknown> {
         const address = this.#server?.address ?? "";
-        return this.#entry.sendUntil(
+        return this.#entryClient.sendUntil(
             "workers.announce",
             {
                 workers: instances.map((instance) => ({
                     instance,
                     address,
                     incarnation: this.#incarnation,
-                    sentAt: getNow(),
+                    sentAt: getMonotonicNowMs(),
                 })),
             },
-            Date.now() + ANNOUNCE_FOR_MS,
+            Date.now() + ANNOUNCE_TIMEOUT_MS,
         );
     }
 
     #handleGrant(params: { leases: GrantMessage[] }): { replies: LeaseReply[] } {
-        const now = getNow();
+        const now = getMonotonicNowMs();
         const replies = params.leases.map((lease): LeaseReply => {
             const agent = this.agents.get(lease.instance);
             if (agent === undefined) {
                 return { lease: lease.lease, status: "unknown", reason: "no such worker here" };
             }
-            const known = agent.started.length;
+            const startedBefore = agent.startedTasks.length;
             const reply = agent.acceptLease(lease, now);
-            if (agent.started.length > known || reply.status !== "accepted") {
+            if (agent.startedTasks.length > startedBefore || reply.status !== "accepted") {
                 this.#recordReply(lease, reply);
             }
             return reply;
@@ -163,23 +166,23 @@
 
     #handleStop(params: { stops: StopMessage[] }): { ok: true } {
         for (const stop of params.stops) {
-            this.agents.get(stop.instance)?.stopLease(stop, getNow());
+            this.agents.get(stop.instance)?.stopLease(stop, getMonotonicNowMs());
         }
         return { ok: true };
     }
 
     #runTick(): void {
         this.#tickAgents();
-        if (!this.#isReporting && this.#unreported.length > 0) {
+        if (!this.#isSendingReports && this.#pendingReports.length > 0) {
             void this.#sendReports();
         }
     }
 
     #tickAgents(): void {
-        const now = getNow();
+        const now = getMonotonicNowMs();
         for (const agent of this.agents.values()) {
             for (const report of agent.tick(now)) {
-                this.#unreported.push(report);
+                this.#pendingReports.push(report);
                 if (report.report !== "started") {
                     this.#log.info(`task ${report.report}`, {
                         instance: agent.instance,
@@ -197,62 +200,62 @@
      * commits them must not leave a finished batch "running" until its lease is lost.
      */
     async #sendReports(): Promise<void> {
-        this.#isReporting = true;
-        const reports = this.#unreported;
-        this.#unreported = [];
+        this.#isSendingReports = true;
+        const reports = this.#pendingReports;
+        this.#pendingReports = [];
         try {
-            await this.#entry.send("workers.report", { reports });
+            await this.#entryClient.send("workers.report", { reports });
         } catch (error) {
-            this.#unreported = [...reports, ...this.#unreported];
+            this.#pendingReports = [...reports, ...this.#pendingReports];
             this.#log.warn("reports not taken", { error: (error as Error).message });
             await new Promise((resolve) => setTimeout(resolve, REPORT_RETRY_MS));
         } finally {
-            this.#isReporting = false;
+            this.#isSendingReports = false;
         }
     }
 
-    async #sendBeats(): Promise<void> {
-        if (this.#isBeating) {
+    async #sendHeartbeats(): Promise<void> {
+        if (this.#isSendingHeartbeats) {
             return;
         }
-        this.#isBeating = true;
+        this.#isSendingHeartbeats = true;
         // First end what ran out: after a freeze, a heartbeat must not list what may by now run
         // elsewhere.
         this.#tickAgents();
-        const sentAt = getNow();
-        const beats = [...this.agents.values()].map((agent) => ({
+        const sentAt = getMonotonicNowMs();
+        const heartbeats = [...this.agents.values()].map((agent) => ({
             instance: agent.instance,
             incarnation: this.#incarnation,
             sentAt,
-            leases: agent.listHeld(sentAt),
+            leases: agent.listHeldLeases(sentAt),
         }));
         try {
-            const answer = await this.#entry.send<{
+            const answer = await this.#entryClient.send<{
                 announce: InstanceId[];
                 ended: LeaseId[];
-            }>("workers.heartbeat", { beats });
+            }>("workers.heartbeat", { beats: heartbeats });
             const ended = new Set(answer.ended);
-            for (const beat of beats) {
-                const held = beat.leases.map((l) => l.lease);
-                const agent = this.agents.get(beat.instance);
+            for (const heartbeat of heartbeats) {
+                const heldLeases = heartbeat.leases.map((l) => l.lease);
+                const agent = this.agents.get(heartbeat.instance);
                 agent?.renewLeases(
                     sentAt,
-                    held.filter((l) => !ended.has(l)),
+                    heldLeases.filter((l) => !ended.has(l)),
                 );
-                agent?.closeEnded(held.filter((l) => ended.has(l)));
+                agent?.stopEndedLeases(heldLeases.filter((l) => ended.has(l)));
             }
-            if (answer.announce.length > 0 && !this.#stopped) {
+            if (answer.announce.length > 0 && !this.#isStopped) {
                 await this.#announce(answer.announce);
             }
         } catch (error) {
             this.#log.warn("heartbeat not taken", { error: (error as Error).message });
         } finally {
-            this.#isBeating = false;
+            this.#isSendingHeartbeats = false;
         }
     }
 }
 
 /** The worker's clock: it never goes back, so a step of the time of day ends no lease early. */
-function getNow(): number {
+function getMonotonicNowMs(): number {
     return Math.round(performance.timeOrigin + performance.now());
 }
