--- a/load/cell_runner.ts
+++ b/load/cell_runner.ts
@@ -1,12 +1,11 @@
 /**
- * Brings up a local cell as real processes on loopback: one entry instance and one stand-in
- * worker host per availability zone, each a child process with its own log file. A tool of the
- * command line and the load tool; the cell's own processes start no other process.
+ * Starts a local cell as child processes on loopback: one entry instance, and one host of
+ * simulated workers per availability zone. Used by the command line and the load generator.
  *
  * @example
  * ```ts
  * import { spawnCell } from "./cell_runner.ts";
- * const cell = await spawnCell({ inventoryFile, rulesFile, dir: ".data/demo" });
+ * const cell = await spawnCell({ inventoryFile, rulesFile, dir: ".data/demo", zones });
  * await cell.stop();
  * ```
  *
@@ -28,33 +27,33 @@
 export interface SpawnCellOptions {
     readonly inventoryFile: string;
     readonly rulesFile: string;
-    /** Logs and the journal go here. */
+    /** The directory for log files and stored data. */
     readonly dir: string;
-    /** Zones to run worker hosts for, one process each. */
+    /** The availability zones; one worker host is started for each. */
     readonly zones: readonly string[];
-    /** Instances that fail everything. */
+    /** IDs of instances whose workers fail every task. */
     readonly failing?: readonly string[];
 }
 
 /** A running local cell. */
 export interface SpawnedCell {
-    /** The entry instances, as callers reach them. */
+    /** The list of entry instances for callers. */
     readonly entry: string;
     readonly logFiles: readonly string[];
-    /** The processes' ids by name; entry instances first. */
+    /** Process IDs by process name, entry instances first. */
     readonly pids: ReadonlyMap<string, number>;
-    /** The statuses of the entry instances that answer. */
+    /** Lists the statuses of the entry instances that respond. */
     readonly listStatuses: () => Promise<EntryStatus[]>;
-    /** SIGTERM to every process, then waits for all to exit. */
+    /** Stops all processes and waits until they have exited. */
     readonly stop: () => Promise<void>;
 }
 
 /**
- * Starts the entry instance, then a worker host per zone.
+ * Starts the entry instance, then a worker host per availability zone.
  *
- * @param options Files, folder, zones.
+ * @param options The configuration files, the data directory and the zones.
  * @returns The running cell.
- * @throws {Error} When a process does not say where it listens in time.
+ * @throws {Error} When a process exits early or does not report its address in time.
  */
 export async function spawnCell(options: SpawnCellOptions): Promise<SpawnedCell> {
     mkdirSync(options.dir, { recursive: true });
@@ -109,14 +108,14 @@
     }
 }
 
-/** Extra node flags for every child, such as `--cpu-prof` (which NODE_OPTIONS does not take). */
+/** Extra Node.js flags for child processes, such as `--cpu-prof`, which NODE_OPTIONS rejects. */
 const NODE_ARGS = (process.env["POPLARHEAD_NODE_ARGS"] ?? "").split(" ").filter((a) => a !== "");
 
 /**
- * Starts the command line as a child process.
+ * Starts the poplarhead command line as a child process.
  *
- * @param args Its arguments.
- * @returns The child; its standard output is for {@link waitListening}.
+ * @param args The arguments.
+ * @returns The child process; {@link waitListening} reads its standard output.
  */
 export function spawnCli(args: readonly string[]): ChildProcess {
     return spawn(process.execPath, [...NODE_ARGS, "--import", "tsx", CLI_PATH, ...args], {
@@ -125,11 +124,11 @@
 }
 
 /**
- * Waits until a child says where it listens.
+ * Waits until a child process prints its listening address.
  *
- * @param child The child.
+ * @param child The child process.
  * @returns The address.
- * @throws {Error} When it exits first, or does not say in time.
+ * @throws {Error} When the process exits first or does not print the address in time.
  */
 export function waitListening(child: ChildProcess): Promise<string> {
     return new Promise((resolve, reject) => {
@@ -149,17 +148,17 @@
                     resolve(value.listening);
                 }
             } catch {
-                // not our line
+                // Ignores output lines that aren't JSON.
             }
         });
     });
 }
 
 /**
- * Ends children with SIGTERM, last started first (workers before entry instances, so that the
- * entry instances hear them leave), and with SIGKILL what is left after a while.
+ * Stops child processes with SIGTERM, in reverse order of their start so that workers can
+ * deregister, and with SIGKILL after a grace period.
  *
- * @param children The children.
+ * @param children The child processes, in the order of their start.
  */
 export async function stopChildren(children: readonly ChildProcess[]): Promise<void> {
     for (const child of [...children].reverse()) {
--- a/load/cluster_runner.ts
+++ b/load/cluster_runner.ts
@@ -1,13 +1,13 @@
 /**
- * Brings up a cell of several entry instances as real processes on loopback, with a relay on
- * every path between two processes, and the means to kill, freeze, cut off and restart them.
- * A tool of the failure tests and of the load tool; the cell's own processes start no other.
+ * Starts a cell of several entry instances as child processes on loopback, with a fault-injecting
+ * relay on every network path. Failure tests and the load generator use it to kill, suspend,
+ * isolate and restart processes.
  *
  * @example
  * ```ts
  * import { Cluster } from "./cluster_runner.ts";
- * const cluster = await Cluster.start({ dir, inventory, rules, members });
- * await cluster.killEntry("entry-a1");
+ * const cluster = await Cluster.start({ dir, inventoryFile, rulesFile, members, workerZones });
+ * await cluster.killProcess("entry-a1");
  * await cluster.stop();
  * ```
  *
@@ -24,7 +24,7 @@
 import { mergeTimeline, type TimelineEvent } from "../telemetry/mod.ts";
 import { spawnCli, stopChildren, waitListening } from "./cell_runner.ts";
 
-/** An entry instance of a cluster. */
+/** The deployment entry of one entry instance. */
 export interface ClusterMember {
     readonly id: string;
     readonly zone: string;
@@ -33,17 +33,17 @@
 
 /** Options of {@link Cluster.start}. */
 export interface ClusterOptions {
-    /** Files, logs and data go here. */
+    /** The directory for deployment files, log files and stored data. */
     readonly dir: string;
     readonly inventoryFile: string;
     readonly rulesFile: string;
     readonly members: readonly ClusterMember[];
-    /** Zones to run worker hosts for, one process each. */
+    /** The availability zones with workers; one worker host is started for each. */
     readonly workerZones: readonly string[];
-    /** Instances that fail everything. */
+    /** IDs of instances whose workers fail every task. */
     readonly failing?: readonly string[];
     readonly snapshotEvery?: number;
-    /** Callers with a home zone. */
+    /** The home zones of callers. */
     readonly callers?: readonly { readonly caller: string; readonly zone: string }[];
     readonly groups?: readonly { readonly id: string; readonly zones: readonly string[] }[];
     readonly heartbeatMs?: number;
@@ -54,14 +54,14 @@
 const POLL_INTERVAL_MS = 50;
 const DEFAULT_WAIT_TIMEOUT_MS = 60_000;
 
-/** A running cluster. */
+/** Controls the processes and the network paths of a running cell. */
 export class Cluster {
     readonly #options: ClusterOptions;
     readonly #relays = new Map<string, FaultRelay>();
     readonly #children = new Map<string, ChildProcess>();
     readonly #addresses = new Map<string, string>();
     readonly #logFiles = new Set<string>();
-    /** When worker processes were killed, for the audit. */
+    /** When processes were killed, in ms since the epoch, by process name. */
     readonly killedAtMs = new Map<string, number>();
 
     private constructor(options: ClusterOptions) {
@@ -69,10 +69,10 @@
     }
 
     /**
-     * Starts the relays, the entry instances and the worker hosts, and waits for every group to
-     * have a leader.
+     * Starts the relays and the entry instances, waits until every group has a leader, and starts
+     * the worker hosts.
      *
-     * @param options Files, members, zones.
+     * @param options The configuration files, the members and the zones.
      * @returns The running cluster.
      */
     static async start(options: ClusterOptions): Promise<Cluster> {
@@ -91,10 +91,10 @@
     }
 
     /**
-     * Starts (or starts again) an entry instance.
+     * Starts or restarts an entry instance.
      *
-     * @param id The instance.
-     * @param bootstrap Whether the whole cell starts for the first time.
+     * @param id The ID of the entry instance.
+     * @param bootstrap Whether the cell starts for the first time.
      */
     async startEntry(id: string, bootstrap = false): Promise<void> {
         const { dir, inventoryFile, rulesFile, snapshotEvery } = this.#options;
@@ -119,7 +119,7 @@
     }
 
     /**
-     * Starts a worker host for a zone.
+     * Starts the worker host of an availability zone.
      *
      * @param zone The zone.
      */
@@ -139,11 +139,11 @@
     }
 
     /**
-     * Lists the entry instances as a process reaches them, through its relays.
+     * Lists the entry instances with the relay addresses that a process uses for them.
      *
-     * @param from The process; the test's caller by default.
-     * @param zone Only those of a zone.
-     * @returns The list, for `--entry`.
+     * @param from The name of the calling process; an outside caller by default.
+     * @param zone Restricts the list to one availability zone.
+     * @returns The list in the format of the `--entry` option.
      */
     listEntries(from = CALLER, zone?: string): string {
         return this.#options.members
@@ -152,7 +152,7 @@
             .join(",");
     }
 
-    /** The processes' ids, by name. */
+    /** Process IDs by process name. */
     get pids(): ReadonlyMap<string, number> {
         return new Map([...this.#children].map(([id, child]) => [id, child.pid ?? 0]));
     }
@@ -160,7 +160,7 @@
     /**
      * Sends a signal to a process.
      *
-     * @param id The process.
+     * @param id The name of the process.
      * @param signal The signal.
      */
     sendSignal(id: string, signal: NodeJS.Signals): void {
@@ -168,9 +168,9 @@
     }
 
     /**
-     * Kills a process at once and waits until it is gone.
+     * Kills a process with SIGKILL and waits until it has exited.
      *
-     * @param id The process.
+     * @param id The name of the process.
      */
     async killProcess(id: string): Promise<void> {
         const child = this.#children.get(id);
@@ -184,9 +184,9 @@
     }
 
     /**
-     * Ends a process gracefully (SIGTERM) and waits until it is gone.
+     * Stops a process gracefully and waits until it has exited.
      *
-     * @param id The process.
+     * @param id The name of the process.
      */
     async stopProcess(id: string): Promise<void> {
         const child = this.#children.get(id);
@@ -196,30 +196,30 @@
     }
 
     /**
-     * Deletes a killed instance's data folder, as a replaced disk would be empty.
+     * Deletes the data directory of a killed entry instance, to simulate a replaced disk.
      *
-     * @param id The instance.
+     * @param id The ID of the entry instance.
      */
     removeDataDir(id: string): void {
         rmSync(join(this.#options.dir, id), { recursive: true, force: true });
     }
 
     /**
-     * Tells whether an instance holds a snapshot of a group.
+     * Tells whether an entry instance has a snapshot of a group on disk.
      *
-     * @param id The instance.
-     * @param group The group.
-     * @returns True when the file is there.
+     * @param id The ID of the entry instance.
+     * @param group The ID of the group.
+     * @returns Whether the snapshot file exists.
      */
     hasSnapshot(id: string, group: string): boolean {
         return existsSync(join(this.#options.dir, id, group, "snapshot.json"));
     }
 
     /**
-     * Cuts or heals every path between two sets of processes.
+     * Sets the fault mode of the selected network paths.
      *
-     * @param isSelected Tells of a path whether it is meant.
-     * @param mode What the relays do from now on.
+     * @param isSelected Tells whether the path between two processes is selected.
+     * @param mode The fault mode.
      */
     setPathModes(isSelected: (from: string, to: string) => boolean, mode: RelayMode): void {
         for (const [path, relay] of this.#relays) {
@@ -231,21 +231,22 @@
     }
 
     /**
-     * Cuts one instance off from every other entry instance and from the workers, or heals it.
-     * The caller still reaches it.
+     * Sets the fault mode of the paths between an entry instance and all other entry instances
+     * and workers. Outside callers still reach the instance.
      *
-     * @param id The instance.
-     * @param mode What its paths do from now on.
+     * @param id The ID of the entry instance.
+     * @param mode The fault mode; `open` ends the isolation.
      */
     setInstanceIsolated(id: string, mode: RelayMode): void {
         this.setPathModes((from, to) => (from === id || to === id) && from !== CALLER, mode);
     }
 
     /**
-     * Cuts a zone off from the others, or heals it: its instances and workers reach each other.
+     * Sets the fault mode of the paths between an availability zone and all others. Paths inside
+     * the zone and those of outside callers stay as they are.
      *
      * @param zone The zone.
-     * @param mode What the paths over its border do from now on.
+     * @param mode The fault mode; `open` ends the isolation.
      */
     setZoneIsolated(zone: string, mode: RelayMode): void {
         const isInside = (id: string): boolean =>
@@ -255,10 +256,10 @@
     }
 
     /**
-     * Asks an instance for its status, past the relays.
+     * Requests the status of an entry instance directly, without a relay.
      *
-     * @param id The instance.
-     * @returns Its status, or `undefined` when it does not answer.
+     * @param id The ID of the entry instance.
+     * @returns The status, or `undefined` when the instance does not respond.
      */
     async getStatus(id: string): Promise<EntryStatus | undefined> {
         const address = this.#addresses.get(id);
@@ -270,9 +271,9 @@
     }
 
     /**
-     * Lists the statuses of every instance that answers.
+     * Lists the statuses of all entry instances that respond.
      *
-     * @param excludedId An instance that is not asked (a frozen one would not answer).
+     * @param excludedId An entry instance to skip, such as a suspended one.
      * @returns The statuses.
      */
     async listStatuses(excludedId?: string): Promise<EntryStatus[]> {
@@ -282,11 +283,11 @@
     }
 
     /**
-     * Finds who leads a group.
+     * Finds the leader of a group.
      *
-     * @param group The group.
-     * @param excludedId An instance whose word does not count.
-     * @returns The instance, or `undefined`.
+     * @param group The ID of the group.
+     * @param excludedId An entry instance to skip, such as an isolated former leader.
+     * @returns The ID of the leader, or `undefined` when no instance serves the group.
      */
     async findLeader(group: string, excludedId?: string): Promise<string | undefined> {
         const statuses = await this.listStatuses(excludedId);
@@ -296,7 +297,7 @@
     /**
      * Waits until every group has a leader.
      *
-     * @param excludedId An instance whose word does not count.
+     * @param excludedId An entry instance to skip, such as an isolated former leader.
      */
     async waitLeaders(excludedId?: string): Promise<void> {
         await waitUntil("every group has a leader", async () => {
@@ -310,15 +311,15 @@
     }
 
     /**
-     * Merges the logs of every process.
+     * Merges the log files of all processes.
      *
-     * @returns The time line.
+     * @returns The events in the order of time.
      */
     loadTimeline(): TimelineEvent[] {
         return mergeTimeline([...this.#logFiles].map((file) => readFileSync(file, "utf8")));
     }
 
-    /** Ends every process and relay. */
+    /** Resumes suspended processes, then stops all processes and relays. */
     async stop(): Promise<void> {
         for (const child of this.#children.values()) {
             child.kill("SIGCONT");
@@ -373,10 +374,10 @@
 /**
  * Waits until a condition holds.
  *
- * @param condition The condition in words, for the error.
+ * @param condition A description of the condition, for the error message.
  * @param isMet Tells whether it holds.
- * @param timeoutMs How long to wait, in ms.
- * @throws {Error} When it does not hold in time.
+ * @param timeoutMs The longest wait, in ms.
+ * @throws {Error} When the condition does not hold in time.
  */
 export async function waitUntil(
     condition: string,
--- a/load/experiment.ts
+++ b/load/experiment.ts
@@ -1,6 +1,6 @@
 /**
- * Experiment files for `poplarhead load`: the size of the cell, the request mix and rate, how
- * long, and the faults (cancellation waves, failing workers, declared run times far off).
+ * Loads and validates experiment files for `poplarhead load`, which define the size of the cell,
+ * the request mix, the rate and the injected faults.
  *
  * @example
  * ```ts
@@ -20,37 +20,37 @@
     .object({
         name: z.string().min(1),
         deployment: z.enum(["umhlanga", "caruaru"]),
-        /** Stand-in workers, 16 cores and 32 GB each, 8 to a rack, over the deployment's zones. */
+        /** Simulated workers of 16 cores and 32 GB, 8 per rack, spread over the zones. */
         workers: z.number().int().positive().max(2_000),
-        /** Requests per second sent while the run lasts. */
+        /** Requests sent per second. */
         ratePerSecond: z.number().positive().max(5_000),
         /** How long requests are sent, in ms. */
         durationMs: z.number().int().positive().max(120_000),
-        /** How long to wait for every request to end after sending stops, in ms. */
+        /** The longest wait for all requests to become final after the last one is sent, in ms. */
         drainMs: z.number().int().positive().max(120_000).default(30_000),
-        /** Share of requests cancelled shortly after they are accepted. */
+        /** The fraction of requests that are cancelled after they are accepted. */
         cancelShare: z.number().min(0).max(1).default(0),
-        /** Workers that fail everything they start. */
+        /** The number of workers that fail every task. */
         failingWorkers: z.number().int().nonnegative().default(0),
-        /** Entry instances, spread over the zones; 1 is the whole cell in one process. */
+        /** Entry instances, spread over the availability zones. */
         instances: z.number().int().min(1).max(12).default(1),
-        /** One group for the whole cell instead of one per zone. */
+        /** Uses one group for the whole cell instead of one per availability zone. */
         oneGroup: z.boolean().default(false),
-        /** Seed of the mix. */
+        /** The random seed of the request mix and the cancellations. */
         seed: z.number().int().default(1),
     })
     .strict();
 
-/** An experiment. */
+/** A validated experiment. */
 export type Experiment = z.infer<typeof experimentSchema>;
 
 /**
- * Parses and checks an experiment file; every bad line is reported.
+ * Parses and validates an experiment file.
  *
- * @param file The file's path, used in findings.
+ * @param file The path of the file, for error messages.
  * @param text The YAML text.
  * @returns The experiment.
- * @throws {FindingsError} With every finding.
+ * @throws {FindingsError} When the file is invalid; lists all findings.
  */
 export function loadExperimentText(file: string, text: string): Experiment {
     return checkSource(parseYamlSource(file, text), experimentSchema);
--- a/load/mix.ts
+++ b/load/mix.ts
@@ -1,6 +1,6 @@
 /**
- * Request mixes of the two deployments: what their callers send, with true run times that
- * differ from the declared ones.
+ * Generates reproducible request mixes for the example deployments, with declared run times that
+ * differ from the actual ones.
  *
  * @example
  * ```ts
@@ -14,6 +14,7 @@
 import type { RequestSpec } from "../cell/mod.ts";
 import { createId, type CustomerId, type ServiceId } from "../inventory/mod.ts";
 
+/** The size of one request kind and its share of the mix. */
 interface KindProfile {
     readonly kind: string;
     readonly share: number;
@@ -24,7 +25,7 @@
     readonly customer: string;
 }
 
-/** Callers that a deployment's requests come from in turn. */
+/** The number of callers that send the requests of a deployment, in round-robin order. */
 const CALLER_COUNT = 24;
 
 const MIXES: Record<string, { service: string; kinds: readonly KindProfile[] }> = {
@@ -131,12 +132,13 @@
 };
 
 /**
- * Builds `n` requests of a deployment's mix, the same for the same seed.
+ * Builds the requests of a deployment's mix; the same seed gives the same requests.
  *
  * @param deployment "umhlanga" or "caruaru".
- * @param count How many requests.
- * @param seed The seed of the choice of kinds and run times.
- * @returns The specs; declared run times are off by up to a factor of 3 either way.
+ * @param count The number of requests.
+ * @param seed The random seed.
+ * @returns The requests; declared run times differ from actual ones by a factor of up to 3.
+ * @throws {Error} When the deployment has no mix.
  */
 export function buildMix(deployment: string, count: number, seed = 1): RequestSpec[] {
     const mix = MIXES[deployment];
--- a/load/process_stats.ts
+++ b/load/process_stats.ts
@@ -1,5 +1,5 @@
 /**
- * CPU time and resident memory of our own child processes, read from `/proc/<pid>`.
+ * Reads the CPU time and resident memory of processes from `/proc/<pid>` on Linux.
  *
  * @example
  * ```ts
@@ -12,22 +12,22 @@
 
 import { readFileSync } from "node:fs";
 
-/** Clock ticks per second of `/proc/<pid>/stat` on Linux. */
+/** The unit of CPU times in `/proc/<pid>/stat`. */
 const CLOCK_TICKS_PER_SECOND = 100;
 
-/** One reading of a process. */
+/** The resource usage of a process. */
 export interface ProcessStats {
-    /** User plus system CPU time since the process started, in seconds. */
+    /** User and system CPU time since the process started, in seconds. */
     readonly cpuSeconds: number;
     /** Resident memory, in bytes. */
     readonly rssBytes: number;
 }
 
 /**
- * Reads a process's CPU time and resident memory.
+ * Reads the CPU time and resident memory of a process.
  *
- * @param pid The process.
- * @returns The reading; zeros when the process is gone.
+ * @param pid The process ID.
+ * @returns The resource usage; zeros when the process does not exist.
  */
 export function readProcessStats(pid: number): ProcessStats {
     try {
--- a/load/run_load.ts
+++ b/load/run_load.ts
@@ -1,9 +1,7 @@
 /**
- * Runs an experiment against real processes on loopback: writes an inventory of the asked
- * size, brings up the cell (one entry instance, a worker host per zone), sends the mix at the
- * asked rate for the asked time, waits for every request to end, and reports waiting time per
- * class, placements per second, packing, and each process's CPU share, memory and bytes/s.
- * Bounded in time: sending stops after `durationMs`, waiting after `drainMs`.
+ * Runs a load experiment against a local cell and reports waiting times, placement rate, packing
+ * and the resource usage of each process. Sending ends after `durationMs`, waiting after
+ * `drainMs`.
  *
  * @example
  * ```ts
@@ -39,7 +37,7 @@
 const SEND_INTERVAL_MS = 20;
 const SAMPLE_INTERVAL_MS = 250;
 
-/** Waiting time of one class, in ms. */
+/** The distribution of waiting times in one class, in ms. */
 export interface WaitSummary {
     readonly p50: number;
     readonly p99: number;
@@ -47,15 +45,15 @@
     readonly count: number;
 }
 
-/** Cost of one of our processes over the run. */
+/** The resource usage of one process during the run. */
 export interface ProcessUsage {
     readonly role: string;
-    /** Share of one core, 0 to 1 (and more for several threads). */
+    /** CPU time as a fraction of one core; above 1 for several busy threads. */
     readonly cpuShare: number;
     readonly maxRssMb: number;
 }
 
-/** What a run reports. */
+/** The results of a run. */
 export interface LoadReport {
     readonly experiment: Experiment;
     readonly requests: number;
@@ -65,7 +63,7 @@
     readonly packingWhileQueued: number;
     readonly packingMean: number;
     readonly processes: readonly ProcessUsage[];
-    /** Who led which group at the end. */
+    /** The leader of each group at the end of the run. */
     readonly leaders: readonly string[];
     readonly entryBytesPerSecond: readonly {
         readonly id: string;
@@ -77,18 +75,18 @@
 
 /** Options of {@link runExperiment}. */
 export interface RunOptions {
-    /** Inventory, logs and journal go here. */
+    /** The directory for the inventory, log files and stored data. */
     readonly dir: string;
-    /** Gets a progress line about once a second. */
+    /** Called with a progress line once a second. */
     readonly onProgress?: (line: string) => void;
 }
 
-/** The cell's state summed over its groups' leaders. */
+/** The state of the cell, aggregated over the leaders of its groups. */
 interface CellStats {
     readonly packingCores: number;
     readonly queued: number;
     readonly placements: number;
-    /** Bytes received and sent by each entry instance so far. */
+    /** The bytes received and sent so far, by entry instance. */
     readonly bytes: ReadonlyMap<string, { readonly received: number; readonly sent: number }>;
 }
 
@@ -96,7 +94,7 @@
  * Runs one experiment.
  *
  * @param experiment The experiment.
- * @param options Where files go, and a progress callback.
+ * @param options The data directory and a progress callback.
  * @returns The report.
  */
 export async function runExperiment(
@@ -156,7 +154,7 @@
     };
 }
 
-/** Sums the statuses: each group counts once, at the instance that leads it. */
+/** Aggregates the statuses; each group is counted once, at its leader. */
 async function measureCell(cell: SpawnedCell): Promise<CellStats> {
     const statuses = await cell.listStatuses();
     const cells = statuses.flatMap((s) =>
@@ -275,7 +273,7 @@
     };
 }
 
-/** One caller per entry instance, as a balancer would spread them. */
+/** Creates one caller per entry instance, each starting with another one to spread the load. */
 function createCallers(entry: string, completionTimeoutMs: number): Caller[] {
     const entries = entry.split(",");
     return entries.map((_, i) => {
@@ -339,10 +337,10 @@
 }
 
 /**
- * Formats a report for a person.
+ * Formats a report as human-readable text.
  *
  * @param report The report.
- * @returns A few lines.
+ * @returns The text, several lines.
  */
 export function formatReport(report: LoadReport): string {
     const e = report.experiment;
--- a/standin/caller.ts
+++ b/standin/caller.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in caller (a merchandiser's tool, a chapel console): submits requests, resends with
- * the same idempotency key when an answer is lost, and waits for every request's end.
+ * A simulated client of a cell: submits requests, retries with the same idempotency key when a
+ * response is lost, and waits until every request reaches a final state.
  *
  * @example
  * ```ts
@@ -16,26 +16,27 @@
 import type { RulesChange, RulesChangeResult } from "../rules/mod.ts";
 import { EntryClient, parseEntries } from "./entry_client.ts";
 
-/** Options of a caller. */
+/** Options of {@link Caller}. */
 export interface CallerOptions {
-    /** The entry instances, as {@link parseEntries} reads them. */
+    /** The entry instances, in the format of {@link parseEntries}. */
     readonly entry: string;
-    /** How long it resends after lost answers before giving up, in ms. */
+    /** How long a call without a response is retried, in ms. */
     readonly resendTimeoutMs?: number;
-    /** The longest wait for all requests to end, in ms. */
+    /** The longest wait for all requests to become final, in ms. */
     readonly completionTimeoutMs?: number;
 }
 
+/** Bounds one `request.wait` call, in ms. */
 const MAX_WAIT_CALL_MS = 10_000;
 
-/** A caller of a cell. */
+/** Submits requests to a cell and follows them to their final state. */
 export class Caller {
     readonly #client: EntryClient;
     readonly #resendTimeoutMs: number;
     readonly #completionTimeoutMs: number;
 
     /**
-     * @param options Where to send, how long to resend.
+     * @param options The entry instances and the timeouts.
      */
     constructor(options: CallerOptions) {
         this.#client = new EntryClient({ entries: parseEntries(options.entry) });
@@ -44,11 +45,12 @@
     }
 
     /**
-     * Submits one request, resending with the same key while no answer comes.
+     * Submits one request, retrying with the same idempotency key until a response arrives.
      *
      * @param spec The request.
      * @returns The cell's answer.
-     * @throws {RpcError} When the cell refused the call (bad params, key reuse) or never answered.
+     * @throws {RpcError} When the cell rejects the call (invalid parameters, reused key) or does
+     *   not respond in time.
      */
     submit(spec: RequestSpec): Promise<RequestStatus> {
         return this.#client.sendUntil(
@@ -59,10 +61,10 @@
     }
 
     /**
-     * Cancels a request.
+     * Cancels a request, retrying until a response arrives.
      *
-     * @param requestId The request.
-     * @returns The answer.
+     * @param requestId The ID of the request.
+     * @returns The cell's answer.
      */
     cancel(requestId: string): Promise<RequestStatus> {
         return this.#client.sendUntil(
@@ -73,22 +75,23 @@
     }
 
     /**
-     * Sends a rules change, as an operator would, until it is answered.
+     * Sends a rules change, retrying until a response arrives.
      *
      * @param change The change.
-     * @returns Applied, a conflict, or rejected.
+     * @returns Whether the change was applied, conflicted with another, or was rejected.
      */
     setRules(change: RulesChange): Promise<RulesChangeResult> {
         return this.#client.sendUntil("rules.set", { change }, Date.now() + this.#resendTimeoutMs);
     }
 
     /**
-     * Waits until a request is final, asking again as the cell advises.
+     * Waits until a request is final, with repeated long polls.
      *
-     * @param requestId The request.
-     * @param deadlineMs A time (ms) after which the last answer is returned as it is.
+     * @param requestId The ID of the request.
+     * @param deadlineMs The time (ms since the epoch) after which the last answer is returned,
+     *   final or not.
      * @returns The last answer.
-     * @throws {RpcError} When no entry instance answers any more.
+     * @throws {RpcError} When no entry instance responds by the deadline.
      */
     async waitFinal(requestId: string, deadlineMs: number): Promise<RequestStatus> {
         for (;;) {
@@ -101,10 +104,10 @@
     }
 
     /**
-     * Submits all requests, then waits for all to end.
+     * Submits all requests, then waits until all are final.
      *
      * @param specs The requests.
-     * @returns Their last answers, in order.
+     * @returns The last answer to each request, in the order of `specs`.
      */
     async runAll(specs: readonly RequestSpec[]): Promise<RequestStatus[]> {
         const accepted = await Promise.all(specs.map((spec) => this.submit(spec)));
@@ -112,7 +115,7 @@
         return Promise.all(accepted.map((a) => this.waitFinal(a.requestId, deadlineMs)));
     }
 
-    /** Bytes this caller sent and received. */
+    /** The bytes sent and received so far. */
     get bytes(): { received: number; sent: number } {
         return this.#client.bytes;
     }
--- a/standin/entry_client.ts
+++ b/standin/entry_client.ts
@@ -1,7 +1,6 @@
 /**
- * How a process outside the cell reaches it: a list of entry instances (what a balancer would
- * give), the one that answered last first, others in turn when it does not answer, and the
- * leader that an answer names.
+ * An RPC client for a cell with several entry instances: it stays with the instance that
+ * responded last and fails over to the leader named in an error, or else to the next instance.
  *
  * @example
  * ```ts
@@ -27,7 +26,7 @@
     type RpcClient,
 } from "../rpc/mod.ts";
 
-/** An entry instance as an outside process knows it. */
+/** The ID and the address of an entry instance. */
 export interface EntryAddress {
     readonly id: string;
     readonly address: string;
@@ -36,11 +35,11 @@
 /** Options of {@link EntryClient}. */
 export interface EntryClientOptions {
     readonly entries: readonly EntryAddress[];
-    /** How long one call may take, in ms. */
+    /** The timeout of one call, in ms. */
     readonly timeoutMs?: number;
 }
 
-/** The error codes after which another entry instance is tried. */
+/** Error codes after which the client fails over; 0 means that no response came. */
 const FAILOVER_CODES: ReadonlySet<number> = new Set([
     0,
     NO_LEADER_CODE,
@@ -50,7 +49,7 @@
 const DEFAULT_TIMEOUT_MS = 3_000;
 
 /**
- * Reads a list of entry instances: `id=host:port` or `host:port`, separated by commas.
+ * Parses a comma-separated list of entry instances, each `id=host:port` or `host:port`.
  *
  * @param text The list.
  * @returns The entry instances.
@@ -67,14 +66,14 @@
         });
 }
 
-/** A client of a cell. */
+/** Calls methods of a cell, with failover between its entry instances. */
 export class EntryClient {
     readonly #entries: readonly EntryAddress[];
     readonly #clients: readonly RpcClient[];
     #currentIndex = 0;
 
     /**
-     * @param options The entry instances, the timeout.
+     * @param options The entry instances and the timeout.
      */
     constructor(options: EntryClientOptions) {
         this.#entries = options.entries;
@@ -83,20 +82,20 @@
         );
     }
 
-    /** Bytes sent and received. */
+    /** The bytes sent to and received from all entry instances so far. */
     get bytes(): ByteCounts {
         return addByteCounts(this.#clients.map((c) => c.bytes()));
     }
 
     /**
-     * Calls a method once at the entry instance that answered last. When it does not answer or
-     * names another, the next call goes there.
+     * Calls a method once, at the current entry instance. After a failover error the next call
+     * goes to another instance.
      *
-     * @param method The method.
-     * @param params Its params.
-     * @param callTimeoutMs How long the call may take, in ms.
+     * @param method The method name.
+     * @param params The parameters.
+     * @param callTimeoutMs The timeout of this call, in ms.
      * @returns The result.
-     * @throws {RpcError} The entry instance's error, or code 0 when it did not answer.
+     * @throws {RpcError} The entry instance's error, or code 0 when it did not respond.
      */
     async send<T>(method: string, params: object, callTimeoutMs?: number): Promise<T> {
         const usedIndex = this.#currentIndex;
@@ -115,12 +114,11 @@
     }
 
     /**
-     * Calls a method, trying other entry instances and coming back when told to, until a time.
-     * Only for methods that are safe to repeat (by key, by change id, or by their nature).
+     * Calls a method with retries and failover until a deadline. The method must be idempotent.
      *
-     * @param method The method.
-     * @param params Its params.
-     * @param deadlineMs When to give up, in ms since the epoch.
+     * @param method The method name.
+     * @param params The parameters.
+     * @param deadlineMs When to stop retrying, in ms since the epoch.
      * @returns The result.
      * @throws {RpcError} The last error.
      */
@@ -150,7 +148,7 @@
                 : (usedIndex + 1) % this.#entries.length;
     }
 
-    /** Waits as told, but not before every other instance had its turn. */
+    /** Waits before a retry: for the advised time only once every instance has been tried. */
     async #waitRetry(attempt: number, error: RpcError): Promise<void> {
         const isLeaderKnown = (error.data as NoLeaderData | undefined)?.leader !== undefined;
         if (isLeaderKnown || attempt % this.#entries.length !== 0) {
--- a/standin/fault_relay.ts
+++ b/standin/fault_relay.ts
@@ -1,7 +1,7 @@
 /**
- * A relay between processes on loopback that can be cut: the stand-in for the network. A silent
- * cut keeps connections open and loses every byte, as a partition does; a refusing one closes
- * them. One relay stands for one direction of calls between two processes.
+ * A TCP relay on loopback that injects network faults: it can drop all bytes while connections
+ * stay open, as a partition does, or refuse connections. One relay carries the calls of one
+ * process to another.
  *
  * @example
  * ```ts
@@ -16,10 +16,10 @@
 
 import { createServer, Socket, type AddressInfo, type Server } from "node:net";
 
-/** What a relay does with bytes. */
+/** How a relay treats traffic: `silent` drops all bytes, `refuse` closes all connections. */
 export type RelayMode = "open" | "silent" | "refuse";
 
-/** One relay. */
+/** Relays TCP connections to one target, with injected faults. */
 export class FaultRelay {
     readonly #server: Server;
     readonly #sockets = new Set<Socket>();
@@ -34,7 +34,7 @@
     /**
      * Starts a relay on a free port of 127.0.0.1.
      *
-     * @returns The relay; it refuses connections until it has a target.
+     * @returns The relay, which refuses connections until a target is set.
      */
     static async start(): Promise<FaultRelay> {
         const relay = new FaultRelay();
@@ -42,21 +42,21 @@
         return relay;
     }
 
-    /** Where it listens, as `host:port`. */
+    /** The listening address, as `host:port`. */
     get address(): string {
         const { address, port } = this.#server.address() as AddressInfo;
         return `${address}:${port}`;
     }
 
-    /** Bytes relayed, both ways. */
+    /** The bytes relayed in both directions. */
     get bytes(): number {
         return this.#bytes;
     }
 
     /**
-     * Sets where connections go.
+     * Sets the target of new connections.
      *
-     * @param address `host:port`.
+     * @param address The target, as `host:port`.
      */
     setTarget(address: string): void {
         const separatorIndex = address.lastIndexOf(":");
@@ -67,9 +67,9 @@
     }
 
     /**
-     * Cuts or heals. Connections that lost bytes are closed when the cut ends.
+     * Sets the fault mode. Connections that lost bytes are closed when a silent fault ends.
      *
-     * @param mode What to do with bytes from now on.
+     * @param mode The mode for all current and new connections.
      */
     setMode(mode: RelayMode): void {
         const shouldClose = mode === "refuse" || (mode === "open" && this.#mode === "silent");
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Closes the relay and its connections. */
+    /** Closes the relay and all its connections. */
     close(): void {
         this.#server.close();
         this.#closeSockets();
--- a/standin/mod.ts
+++ b/standin/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Stand-ins for the outside systems: workers (many in one process) and callers.
+ * Simulated workers and callers, a failover client and a fault-injecting relay, for tests and
+ * load runs.
  *
  * @example
  * ```ts
--- a/standin/task_worker.ts
+++ b/standin/task_worker.ts
@@ -1,13 +1,12 @@
 /**
- * A stand-in for a worker that is ordered about: start, stop and look orders, attempt numbers,
- * fences, leases on its own clock, ends that are listed until they are acknowledged. It runs in
- * virtual time, so a day of many workers takes seconds. It guards nothing: what it is told to
- * start it starts, as the platform's workers do.
+ * A simulated worker that executes start, stop and poll orders. It enforces attempt numbers,
+ * fencing tokens and its lease, but not its capacity, and reports each ended task until the end
+ * is acknowledged. The clock is injected, so it also runs in virtual time.
  *
  * @example
  * ```ts
  * import { TaskWorker } from "./task_worker.ts";
- * const worker = new TaskWorker({ id, capacity, getNow, taskMs: () => 500 });
+ * const worker = new TaskWorker({ id, capacity, getNow, getDemand, computeTaskMs: () => 500 });
  * worker.start(order);
  * worker.advance();
  * ```
@@ -25,15 +24,15 @@
 } from "../dispatch/mod.ts";
 import type { MemberOutcome, Resources, WorkerId } from "../job/mod.ts";
 
-/** One run on a worker. */
+/** One attempt of a task on a worker; times are those of {@link TaskWorkerOptions.getNow}. */
 export interface TaskRun {
     readonly task: string;
     readonly attempt: number;
     readonly startedAtMs: number;
-    /** When the work is done, by our clock; infinite for one that hangs. */
+    /** When the task finishes by itself; infinite for a task that hangs. */
     readonly finishesAtMs: number;
     readonly demand: Resources;
-    /** When a stop takes effect, if one was ordered. */
+    /** When the ordered stop takes effect, or `undefined` without one. */
     stopsAtMs: number | undefined;
 }
 
@@ -42,35 +41,36 @@
     readonly id: WorkerId;
     readonly capacity: Resources;
     readonly getNow: () => number;
-    /** How long a task runs, in ms. */
+    /** Computes how long a task runs, in ms. */
     readonly computeTaskMs: (task: string) => number;
-    /** What a task needs. */
+    /** Returns the resources that a task occupies. */
     readonly getDemand: (task: string) => Resources;
-    /** How a task ends by itself. */
+    /** Returns the outcome of a task that finishes by itself; `done` by default. */
     readonly getOutcome?: (task: string) => MemberOutcome;
-    /** What a task reports as its load. */
+    /** Returns the load that a task reports; 0 by default. */
     readonly getLoad?: (task: string) => number;
-    /** This worker's clock runs so much slower than ours (0.02 for 2%). */
+    /** The fraction by which the worker's clock runs slow (0.02 for 2%). */
     readonly clockDrift?: number;
-    /** How long a stop takes, in ms. */
+    /** The delay between a stop order and the end of the task, in ms. */
     readonly stopDelayMs?: number;
-    /** The longest lease it grants, in ms. */
+    /** The longest lease that the worker accepts, in ms. */
     readonly maxLeaseMs?: number;
-    /** Told of each run that begins and ends here. */
+    /** Called when a task starts. */
     readonly onStart?: (run: TaskRun) => void;
+    /** Called when a task ends. */
     readonly onEnd?: (run: TaskRun, how: MemberOutcome) => void;
-    /** Told of each end that it may forget. */
+    /** Called for each reported end that was acknowledged. */
     readonly onAcknowledge?: (end: EndReport) => void;
 }
 
 const DEFAULT_STOP_MS = 200;
 const DEFAULT_MAX_LEASE_MS = 10_000;
 
-/** One incarnation of a worker. */
+/** Simulates one incarnation of a worker. */
 export class TaskWorker {
     readonly #options: TaskWorkerOptions;
     readonly #runs = new Map<string, TaskRun>();
-    /** The highest attempt stopped or ended here, per task. */
+    /** The highest attempt that was stopped or ended, by task. */
     readonly #highestEndedAttempt = new Map<string, number>();
     #unacknowledgedEnds: EndReport[] = [];
     #endCount = 0;
@@ -79,23 +79,23 @@
     isDead = false;
 
     /**
-     * @param options Identity, capacity, how tasks behave; see {@link TaskWorkerOptions}.
+     * @param options The worker's ID, its capacity and the behaviour of its tasks.
      */
     constructor(options: TaskWorkerOptions) {
         this.#options = options;
     }
 
-    /** Its own clock, in ms. */
+    /** The time of the worker's own clock, in ms. */
     get clockMs(): number {
         return Math.floor(this.#options.getNow() * (1 - (this.#options.clockDrift ?? 0)));
     }
 
-    /** What runs. */
+    /** The running attempts. */
     get runs(): readonly TaskRun[] {
         return [...this.#runs.values()];
     }
 
-    /** What the runs take. */
+    /** The resources occupied by the running attempts. */
     get used(): Resources {
         const sum = { cpu: 0, memoryMb: 0, gpu: 0 };
         for (const { demand } of this.#runs.values()) {
@@ -106,7 +106,7 @@
         return sum;
     }
 
-    /** Ends what is over by now. */
+    /** Ends the attempts that are stopped, finished or without a valid lease by now. */
     advance(): void {
         const now = this.#options.getNow();
         for (const run of [...this.#runs.values()]) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Takes a start. */
+    /** Starts a task, unless the order is fenced off, expired or superseded. */
     start(order: StartOrder): OrderAnswer {
         this.advance();
         const refusal = this.#checkOrder(order.worker, order.fence);
@@ -155,7 +155,7 @@
         return { type: "accepted", clockMs: this.clockMs };
     }
 
-    /** Takes a stop. */
+    /** Stops an attempt, or prevents its start when the stop arrives before the start. */
     stop(order: StopOrder): OrderAnswer {
         this.advance();
         const refusal = this.#checkOrder(order.worker, order.fence);
@@ -173,7 +173,10 @@
         return { type: "accepted", clockMs: this.clockMs };
     }
 
-    /** Takes a look; it does not wait for an end. */
+    /**
+     * Answers a poll at once with the running attempts and the unacknowledged ends, and extends
+     * the lease.
+     */
     poll(order: PollOrder): PollAnswer {
         this.advance();
         const refusal = this.#checkOrder(order.worker, order.fence);
--- a/standin/virtual_time.ts
+++ b/standin/virtual_time.ts
@@ -1,6 +1,6 @@
 /**
- * Time that passes only when it is told to: events run in the order of their times, those of the same time in the
- * order in which they were scheduled.
+ * A virtual clock for discrete-event simulation: events run in the order of their times, and
+ * events of the same time in the order in which they were scheduled.
  *
  * @example
  * ```ts
@@ -18,25 +18,25 @@
     readonly run: () => void;
 }
 
-/** A clock and its events. */
+/** A clock that advances only on request, and its queue of scheduled events. */
 export class VirtualTime {
     readonly #events: ScheduledEvent[] = [];
     #now = 0;
 
-    /** The time, in ms since the start. */
+    /** The virtual time, in ms since the start. */
     get now(): number {
         return this.#now;
     }
 
     /**
-     * Has something done later.
+     * Schedules a callback.
      *
-     * @param delayMs How much later, in ms.
-     * @param run What is done.
+     * @param delayMs The delay from now, in ms.
+     * @param run The callback.
      */
     schedule(delayMs: number, run: () => void): void {
         const event = { atMs: this.#now + delayMs, run };
-        // Behind every event of the same time: the order of scheduling is kept.
+        // Binary search for the position after all events of the same time.
         let [low, high] = [0, this.#events.length];
         while (low < high) {
             const middle = (low + high) >>> 1;
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Lets time pass.
+     * Advances the clock and runs the events that become due.
      *
-     * @param durationMs How much, in ms.
+     * @param durationMs How far to advance, in ms.
      * @param onEvent Called after each event.
      */
     runFor(durationMs: number, onEvent: () => void = () => {}): void {
--- a/standin/worker_agent.ts
+++ b/standin/worker_agent.ts
@@ -1,8 +1,7 @@
 /**
- * A stand-in for the platform's worker on one instance: it takes leases, runs their tasks for
- * the time the work order says, reports use with a lag, stops, and can be told to fail
- * everything it starts. It checks, as a real worker must, that a lease's epoch is above every
- * epoch it has seen for the task and that the lease fits what the instance has.
+ * A simulated worker on one instance: it accepts leases, runs each task for the requested time,
+ * reports resource usage, and stops tasks whose lease expires. It refuses leases that have a
+ * stale epoch or exceed the instance's capacity.
  *
  * @example
  * ```ts
@@ -27,19 +26,19 @@
 } from "../inventory/mod.ts";
 import type { GrantMessage, HeldLease, TaskReport } from "../cell/mod.ts";
 
-/** Options of a worker agent. */
+/** Options of {@link WorkerAgent}. */
 export interface WorkerAgentOptions {
     readonly instance: InstanceId;
     readonly capacity: Resources;
-    /** The worker process; a restarted one gives another. */
+    /** Identifies the worker process; changes with each restart. */
     readonly incarnation?: string;
-    /** Every task it starts fails shortly after. */
+    /** Makes every task fail shortly after its start. */
     readonly failAllTasks?: boolean;
-    /** Use is reported only after a task ran this long, in ms. */
+    /** How long a task runs before its usage is reported, in ms. */
     readonly usageLagMs?: number;
 }
 
-/** A report the agent owes the entry instances. */
+/** A change of a task's state, to be reported to the entry instances. */
 export interface AgentReport {
     readonly lease: LeaseId;
     readonly epoch: number;
@@ -50,22 +49,22 @@
 interface RunningTask {
     readonly message: GrantMessage;
     readonly startedAtMs: number;
-    /** When the entry instances last acknowledged a heartbeat that listed this lease. */
+    /** When the last acknowledged heartbeat that listed this lease was sent, in ms. */
     renewedAtMs: number;
 }
 
-/** The agent's answer to a lease offer. */
+/** The response to a lease offer. */
 export interface LeaseReply {
     readonly lease: LeaseId;
-    /** `unknown`: the offer is for an earlier process of this worker, which may have run it. */
+    /** `unknown`: the offer is for another incarnation, which may have run the task. */
     readonly status: "accepted" | "declined" | "unknown";
     readonly reason: string;
 }
 
-/** How long answers are kept for repeated offers, in ms: far longer than an offer is repeated. */
+/** How long replies are kept to answer resent offers, in ms. */
 const REPLY_RETENTION_MS = 600_000;
 
-/** One stand-in worker. */
+/** Simulates the worker of one instance. */
 export class WorkerAgent {
     readonly instance: InstanceId;
     readonly #capacity: Resources;
@@ -77,11 +76,11 @@
     readonly #incarnation: string;
     #heldResources: Resources = NO_RESOURCES;
     #reports: AgentReport[] = [];
-    /** Tasks started, for tests and invariant checks. */
+    /** All tasks started so far, for tests and invariant checks. */
     readonly startedTasks: { lease: LeaseId; task: TaskId; epoch: number; at: number }[] = [];
 
     /**
-     * @param options Instance, capacity and behaviour.
+     * @param options The instance, its capacity and the simulated behaviour.
      */
     constructor(options: WorkerAgentOptions) {
         this.instance = options.instance;
@@ -92,11 +91,12 @@
     }
 
     /**
-     * Takes a lease offer. A resent offer (same lease) gets the first answer again.
+     * Accepts or refuses a lease offer. An accepted task starts at once; a resent offer gets the
+     * first reply again.
      *
-     * @param message The lease.
-     * @param now The time in ms.
-     * @returns Accepted, or declined with the reason; an accepted task starts at once.
+     * @param message The offer.
+     * @param now The current time, in ms.
+     * @returns The reply, with the reason of a refusal.
      */
     acceptLease(message: GrantMessage, now: number): LeaseReply {
         const previous = this.#replies.get(message.lease);
@@ -114,8 +114,8 @@
         this.#replies.set(message.lease, { reply, at: now });
         this.#highestEpoch.set(message.task, message.epoch);
         this.#heldResources = addResources(this.#heldResources, message.demand);
-        // The lease counts from the heartbeat that the offer goes by, not from its arrival: the
-        // sender may have been frozen in between.
+        // The lease runs from the heartbeat that the offer is based on, not from the arrival of
+        // the offer, which may have been delayed.
         this.#running.set(message.lease, {
             message,
             startedAtMs: now,
@@ -141,8 +141,8 @@
             const reason = `stale epoch ${message.epoch}; seen ${highest}`;
             return { lease, status: "declined", reason };
         }
-        // A leader that was frozen or cut off since that heartbeat may have been replaced, and
-        // its successor may have leased the task to another worker by now.
+        // The sender may have been replaced since that heartbeat, and the new leader may have
+        // leased the task to another worker.
         if (now - message.beatAt > message.ttlMs) {
             const reason = `stale offer: by a heartbeat of ${now - message.beatAt} ms ago`;
             return { lease, status: "declined", reason };
@@ -154,11 +154,11 @@
     }
 
     /**
-     * Stops a task. A stop that overtakes its offer refuses the offer, and says that the task
-     * never started, so that a cancelled request need not wait for the lease to run out.
+     * Stops a task. If the stop arrives before the offer, the offer will be declined, and the
+     * task is reported as not started.
      *
-     * @param stop The lease, its epoch, and the process it was made for.
-     * @param now The time in ms.
+     * @param stop The lease, its epoch, the incarnation it was granted to, and how to stop.
+     * @param now The current time, in ms.
      */
     stopLease(
         stop: {
@@ -184,9 +184,9 @@
     }
 
     /**
-     * Stops tasks whose leases the entry instances no longer know.
+     * Stops the tasks of leases that the entry instances report as ended.
      *
-     * @param leases The leases.
+     * @param leases The ended leases.
      */
     stopEndedLeases(leases: readonly LeaseId[]): void {
         for (const lease of leases) {
@@ -195,16 +195,15 @@
     }
 
     /**
-     * Notes that the entry instances took a heartbeat sent at `sentAt`: its leases are renewed.
+     * Renews leases after the entry instances acknowledged a heartbeat.
      *
-     * @param sentAtMs When the heartbeat left, in ms.
-     * @param leases The leases it listed.
+     * @param sentAtMs When the heartbeat was sent, in ms.
+     * @param leases The leases to renew.
      */
     renewLeases(sentAtMs: number, leases: readonly LeaseId[]): void {
         for (const lease of leases) {
             const task = this.#running.get(lease);
-            // A lease that ran out is not brought back by a late answer: the worker may have been
-            // frozen, and the task may run elsewhere by now.
+            // An expired lease isn't renewed: the task may already run on another worker.
             if (task !== undefined && sentAtMs - task.renewedAtMs <= task.message.ttlMs) {
                 task.renewedAtMs = Math.max(task.renewedAtMs, sentAtMs);
             }
@@ -212,12 +211,11 @@
     }
 
     /**
-     * Advances the agent: ends tasks whose run time is over, and stops every task whose lease
-     * was not renewed within its time to live. That self-fencing is what lets the cell run the
-     * task elsewhere after the lease expired without two copies at once.
+     * Ends tasks whose run time is over and stops those whose lease has expired, so that the
+     * cell can run them on another worker without two copies at once.
      *
-     * @param now The time in ms.
-     * @returns The reports owed since the last call.
+     * @param now The current time, in ms.
+     * @returns The reports added since the last call.
      */
     tick(now: number): AgentReport[] {
         for (const [lease, task] of this.#running) {
@@ -250,10 +248,10 @@
     }
 
     /**
-     * Lists the leases held, with use once the lag has passed (capped at the lease: the
-     * worker throttles a task that would use more than it was given).
+     * Lists the held leases. Usage is included once the reporting lag has passed and is capped
+     * at the leased resources.
      *
-     * @param now The time in ms.
+     * @param now The current time, in ms.
      * @returns The held leases.
      */
     listHeldLeases(now: number): HeldLease[] {
@@ -271,7 +269,7 @@
         });
     }
 
-    /** Resources held by running tasks. */
+    /** The resources held by running tasks. */
     get heldResources(): Resources {
         return this.#heldResources;
     }
--- a/standin/worker_agent_test.ts
+++ b/standin/worker_agent_test.ts
@@ -28,9 +28,7 @@
 }
 
 test("a worker refuses a lease with a stale epoch and stops a task whose lease was not renewed", (t) => {
-    // A delayed offer from an earlier attempt arrives after a newer one: the worker refuses it,
-    // so one task never runs twice on its word. A task whose lease is not renewed within its
-    // time to live is stopped by the worker itself: the cell may then lease it elsewhere.
+    // Guards against running one task twice, by a delayed offer or after its lease expired.
     const agent = buildAgent();
     t.is(agent.acceptLease(buildLease(5), 0).status, "accepted");
     t.is(agent.acceptLease(buildLease(3), 1).status, "declined");
@@ -55,9 +53,7 @@
 });
 
 test("a worker refuses an offer whose sender last heard it longer ago than the time to live", (t) => {
-    // A leader commits a lease, is frozen before the offer leaves, and wakes after its successor
-    // counted the lease lost and leased the task to another worker. Started now, the task would
-    // run in two places. The offer names the heartbeat it goes by, so the worker can tell.
+    // Guards against an offer of a paused leader whose successor leased the task elsewhere.
     const agent = buildAgent();
     const late = agent.acceptLease(buildLease(5, { beatAt: 0 }), 101);
     t.is(late.status, "declined");
@@ -65,9 +61,7 @@
 });
 
 test("a lease counts from the heartbeat the offer goes by, and a late answer does not revive it", (t) => {
-    // The offer took 90 of the lease's 100 ms to arrive; the cell counts from before it left. A
-    // worker counting from arrival would run on after the cell leased the task elsewhere. The
-    // same goes for an answer to a heartbeat that comes after the lease ran out.
+    // Guards against a worker that runs a task past the time when the cell expires its lease.
     const agent = buildAgent();
     agent.acceptLease(buildLease(5, { beatAt: 0 }), 90);
     agent.renewLeases(150, [createId("l5")]);
@@ -78,8 +72,7 @@
 });
 
 test("an offer for an earlier process of the worker is answered 'unknown', never 'declined'", (t) => {
-    // The worker restarts; its earlier process may have run the batch. "Declined" would say that
-    // it did not start, and the cell would lease it again: a second bill.
+    // "Declined" would mean not started, but the earlier process may have run the task.
     const agent = buildAgent("second");
     const reply = agent.acceptLease(buildLease(5, { incarnation: "first" }), 1);
     t.is(reply.status, "unknown");
@@ -87,8 +80,7 @@
 });
 
 test("a stop that overtakes its offer refuses the offer and reports that the task never started", (t) => {
-    // The caller cancels at once; the stop is delivered before the offer. Ignored, it would leave
-    // the cancelled task to start after it, and the caller waiting until the lease ran out.
+    // Guards against starting a cancelled task whose stop was delivered first.
     const agent = buildAgent();
     agent.stopLease({ lease: createId("l5"), epoch: 5, incarnation: "", mode: "stop" }, 1);
     t.is(agent.acceptLease(buildLease(5), 2).status, "declined");
--- a/standin/worker_host.ts
+++ b/standin/worker_host.ts
@@ -1,9 +1,7 @@
 /**
- * A process that carries many stand-in workers behind one JSON-RPC server, so that 1,100
- * workers fit in a few processes. It announces its workers to the entry instances (there is
- * no list of them: they announce themselves), sends their heartbeats in one batch a period,
- * their reports within a tick and again until they are taken, and announces their leaving when
- * it is stopped. Its workers belong to one group (one zone's, or the whole cell's).
+ * Runs many simulated workers of one group behind a single JSON-RPC server. It registers them
+ * with the entry instances, sends heartbeats and reports in batches, and deregisters the workers
+ * on stop.
  *
  * @example
  * ```ts
@@ -25,12 +23,12 @@
 import { EntryClient, parseEntries } from "./entry_client.ts";
 import { WorkerAgent, type AgentReport, type LeaseReply } from "./worker_agent.ts";
 
-/** Options of a worker host. */
+/** Options of {@link WorkerHost}. */
 export interface WorkerHostOptions {
-    /** The entry instances, as {@link parseEntries} reads them. */
+    /** The entry instances, in the format of {@link parseEntries}. */
     readonly entry: string;
     readonly instances: readonly Instance[];
-    /** Instances whose workers fail everything they start. */
+    /** Instances whose workers fail every task. */
     readonly failing?: ReadonlySet<InstanceId>;
     readonly heartbeatMs?: number;
     readonly tickMs?: number;
@@ -43,7 +41,7 @@
 const ANNOUNCE_TIMEOUT_MS = 60_000;
 const REPORT_RETRY_MS = 200;
 
-/** Many stand-in workers in one process. */
+/** Hosts simulated workers in one process. */
 export class WorkerHost {
     readonly #options: WorkerHostOptions;
     readonly agents = new Map<InstanceId, WorkerAgent>();
@@ -58,7 +56,7 @@
     #isStopped = false;
 
     /**
-     * @param options The entry instances, the instances, timings.
+     * @param options The entry instances, the hosted instances and the intervals.
      */
     constructor(options: WorkerHostOptions) {
         this.#options = options;
@@ -86,9 +84,9 @@
     }
 
     /**
-     * Starts the server, announces the workers and starts the loops.
+     * Starts the server, announces the workers and starts the periodic tasks.
      *
-     * @returns The address the host listens on.
+     * @returns The address that the host listens on.
      */
     async start(): Promise<string> {
         this.#server = await startRpcServer({
@@ -107,7 +105,7 @@
         return address;
     }
 
-    /** Announces that the workers leave, then stops. Running tasks end with the process. */
+    /** Deregisters the workers, then stops. Running tasks are not waited for. */
     async stop(): Promise<void> {
         this.#isStopped = true;
         for (const subscription of this.#subscriptions) {
@@ -196,8 +194,8 @@
     }
 
     /**
-     * Sends the reports owed, in order, until they are taken: a leader that dies before it
-     * commits them must not leave a finished batch "running" until its lease is lost.
+     * Sends the pending reports in order. A failed batch is put back in front and sent again, so
+     * that a leader failure doesn't lose the end of a task.
      */
     async #sendReports(): Promise<void> {
         this.#isSendingReports = true;
@@ -219,8 +217,8 @@
             return;
         }
         this.#isSendingHeartbeats = true;
-        // First end what ran out: after a freeze, a heartbeat must not list what may by now run
-        // elsewhere.
+        // Ends expired leases first: after a pause, the heartbeat must not list tasks that may
+        // already run on another worker.
         this.#tickAgents();
         const sentAt = getMonotonicNowMs();
         const heartbeats = [...this.agents.values()].map((agent) => ({
@@ -255,7 +253,7 @@
     }
 }
 
-/** The worker's clock: it never goes back, so a step of the time of day ends no lease early. */
+/** Returns monotonic epoch time in ms, so that clock adjustments don't expire leases early. */
 function getMonotonicNowMs(): number {
     return Math.round(performance.timeOrigin + performance.now());
 }
