--- a/load/cell_runner.ts
+++ b/load/cell_runner.ts
@@ -133,11 +133,11 @@
 export function waitListening(child: ChildProcess): Promise<string> {
     return new Promise((resolve, reject) => {
         const timer = setTimeout(
-            () => reject(new Error("a process did not start in time")),
+            () => reject(new Error("child process did not report its listening address in time")),
             START_TIMEOUT_MS,
         );
         child.once("exit", (code) =>
-            reject(new Error(`a process exited with ${code} before listening`)),
+            reject(new Error(`child process exited with code ${code} before it was listening`)),
         );
         const lines = createInterface({ input: child.stdout as NodeJS.ReadableStream });
         lines.on("line", (line) => {
--- a/load/cluster_runner.ts
+++ b/load/cluster_runner.ts
@@ -361,7 +361,7 @@
     #getRelay(from: string, to: string): FaultRelay {
         const relay = this.#relays.get(`${from}>${to}`);
         if (relay === undefined) {
-            throw new Error(`no path from ${from} to ${to}`);
+            throw new Error(`no relay exists from ${from} to ${to}`);
         }
         return relay;
     }
@@ -387,7 +387,7 @@
     const deadlineMs = Date.now() + timeoutMs;
     while (!(await isMet())) {
         if (Date.now() > deadlineMs) {
-            throw new Error(`not within ${timeoutMs} ms: ${condition}`);
+            throw new Error(`condition not met within ${timeoutMs} ms: ${condition}`);
         }
         await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
--- a/load/mix.ts
+++ b/load/mix.ts
@@ -143,7 +143,7 @@
 export function buildMix(deployment: string, count: number, seed = 1): RequestSpec[] {
     const mix = MIXES[deployment];
     if (mix === undefined) {
-        throw new Error(`no mix for deployment ${deployment}`);
+        throw new Error(`deployment "${deployment}" has no request mix`);
     }
     let state = seed;
     const random = (): number => {
--- a/standin/worker_agent_test.ts
+++ b/standin/worker_agent_test.ts
@@ -27,7 +27,7 @@
     });
 }
 
-test("a worker refuses a lease with a stale epoch and stops a task whose lease was not renewed", (t) => {
+test("a worker refuses leases with a stale epoch or too large a demand, and stops tasks whose lease expires", (t) => {
     // Guards against running one task twice, by a delayed offer or after its lease expired.
     const agent = buildAgent();
     t.is(agent.acceptLease(buildLease(5), 0).status, "accepted");
@@ -41,7 +41,7 @@
             1,
         ).status,
         "declined",
-        "no room: 4 + 5 > 8 cores",
+        "insufficient capacity: 4 + 5 > 8 cores",
     );
     agent.tick(50);
     const reports = agent.tick(150);
@@ -52,7 +52,7 @@
     t.is(agent.heldResources.cores, 0);
 });
 
-test("a worker refuses an offer whose sender last heard it longer ago than the time to live", (t) => {
+test("a worker refuses an offer based on a heartbeat older than the time to live of the lease", (t) => {
     // Guards against an offer of a paused leader whose successor leased the task elsewhere.
     const agent = buildAgent();
     const late = agent.acceptLease(buildLease(5, { beatAt: 0 }), 101);
@@ -60,7 +60,7 @@
     t.is(agent.startedTasks.length, 0);
 });
 
-test("a lease counts from the heartbeat the offer goes by, and a late answer does not revive it", (t) => {
+test("a lease runs from the heartbeat its offer is based on, and a late acknowledgement does not renew it", (t) => {
     // Guards against a worker that runs a task past the time when the cell expires its lease.
     const agent = buildAgent();
     agent.acceptLease(buildLease(5, { beatAt: 0 }), 90);
@@ -71,7 +71,7 @@
     );
 });
 
-test("an offer for an earlier process of the worker is answered 'unknown', never 'declined'", (t) => {
+test("an offer for another incarnation of the worker is answered 'unknown', not 'declined'", (t) => {
     // "Declined" would mean not started, but the earlier process may have run the task.
     const agent = buildAgent("second");
     const reply = agent.acceptLease(buildLease(5, { incarnation: "first" }), 1);
@@ -79,7 +79,7 @@
     t.is(agent.startedTasks.length, 0);
 });
 
-test("a stop that overtakes its offer refuses the offer and reports that the task never started", (t) => {
+test("a stop that arrives before its offer declines the offer and reports the task as declined", (t) => {
     // Guards against starting a cancelled task whose stop was delivered first.
     const agent = buildAgent();
     agent.stopLease({ lease: createId("l5"), epoch: 5, incarnation: "", mode: "stop" }, 1);
--- a/standin/worker_host.ts
+++ b/standin/worker_host.ts
@@ -205,7 +205,9 @@
             await this.#entryClient.send("workers.report", { reports });
         } catch (error) {
             this.#pendingReports = [...reports, ...this.#pendingReports];
-            this.#log.warn("reports not taken", { error: (error as Error).message });
+            this.#log.warn("failed to send task reports, will retry", {
+                error: (error as Error).message,
+            });
             await new Promise((resolve) => setTimeout(resolve, REPORT_RETRY_MS));
         } finally {
             this.#isSendingReports = false;
@@ -246,7 +248,7 @@
                 await this.#announce(answer.announce);
             }
         } catch (error) {
-            this.#log.warn("heartbeat not taken", { error: (error as Error).message });
+            this.#log.warn("failed to send heartbeats", { error: (error as Error).message });
         } finally {
             this.#isSendingHeartbeats = false;
         }
