--- a/bench/bench.ts
+++ b/bench/bench.ts
@@ -29,7 +29,7 @@
  */
 export function runBench(workers: number, requests: number): Record<string, number> {
     const cell = buildCell({ workers, leaseTtlMs: 1e12 });
-    const decide = hdr.build({
+    const tickHistogram = hdr.build({
         lowestDiscernibleValue: 1,
         highestTrackableValue: 10_000_000,
         numberOfSignificantValueDigits: 3,
@@ -40,11 +40,11 @@
     let packingSamples = 0;
     const memoryBefore = process.memoryUsage().heapUsed;
     const cpuBefore = process.cpuUsage();
-    const started = performance.now();
-    let now = 0;
+    const startedAtMs = performance.now();
+    let nowMs = 0;
     let submitted = 0;
     while (submitted < requests || running.length > 0) {
-        now += 10;
+        nowMs += 10;
         for (let i = 0; i < 40 && submitted < requests; i++, submitted++) {
             const kind = KINDS[submitted % KINDS.length] as string;
             cell.submit(
@@ -53,22 +53,24 @@
                     count: kind === "gang" ? 3 : kind === "service" ? 2 : 1,
                     demand: { cores: 1 + (submitted % 4), memoryMb: 1_024, accelerators: 0 },
                 }),
-                now,
+                nowMs,
             );
         }
-        const t0 = performance.now();
-        cell.tick(now);
-        decide.recordValue(Math.max(1, Math.round((performance.now() - t0) * 1_000)));
+        const tickStartedAtMs = performance.now();
+        cell.tick(nowMs);
+        tickHistogram.recordValue(
+            Math.max(1, Math.round((performance.now() - tickStartedAtMs) * 1_000)),
+        );
         for (const effect of cell.takeEffects()) {
             if (effect.type === "grant") {
-                cell.handleReport(effect.lease.lease, effect.lease.epoch, "started", "", now);
-                running.push({ lease: effect.lease, endsAt: now + 200 + (submitted % 7) * 50 });
+                cell.handleReport(effect.lease.lease, effect.lease.epoch, "started", "", nowMs);
+                running.push({ lease: effect.lease, endsAt: nowMs + 200 + (submitted % 7) * 50 });
             }
         }
         for (let i = running.length - 1; i >= 0; i--) {
             const item = running[i];
-            if (item !== undefined && item.endsAt <= now) {
-                cell.handleReport(item.lease.lease, item.lease.epoch, "completed", "", now);
+            if (item !== undefined && item.endsAt <= nowMs) {
+                cell.handleReport(item.lease.lease, item.lease.epoch, "completed", "", nowMs);
                 running.splice(i, 1);
             }
         }
@@ -76,15 +78,15 @@
         packingSum += cell.listWorkers().reduce((s, w) => s + w.held.cores, 0) / totalCores;
         packingSamples += 1;
     }
-    const elapsedMs = performance.now() - started;
+    const elapsedMs = performance.now() - startedAtMs;
     const cpu = process.cpuUsage(cpuBefore);
     return {
         workers,
         requests,
         placements: cell.counters.placements,
         placementsPerSecond: Math.round(cell.counters.placements / (elapsedMs / 1_000)),
-        tickP50Us: decide.getValueAtPercentile(50),
-        tickP99Us: decide.getValueAtPercentile(99),
+        tickP50Us: tickHistogram.getValueAtPercentile(50),
+        tickP99Us: tickHistogram.getValueAtPercentile(99),
         cpuUsPerPlacement: Math.round((cpu.user + cpu.system) / cell.counters.placements),
         meanPackingCores: Number((packingSum / packingSamples).toFixed(3)),
         heapGrowthBytesPerRequest: Math.round(
--- a/bench/cluster_bench.ts
+++ b/bench/cluster_bench.ts
@@ -18,21 +18,24 @@
 import { buildCluster, buildRulesFile, Workload } from "../entry/_cluster_fixtures.ts";
 import { waitUntil, type Cluster } from "../load/cluster_runner.ts";
 
-const COMMITS = 300;
-const CHANGES = 50;
-const ELECTIONS = 3;
-const MISSED = 1_000;
+const COMMIT_COUNT = 300;
+const RULES_CHANGE_COUNT = 50;
+const ELECTION_COUNT = 3;
+const MISSED_REQUESTS = 1_000;
 const ALL_ZONES = ["z1", "z2", "z3"];
 
 /** Percentiles of a series, in ms. */
-interface Figures {
+interface LatencySummary {
     readonly p50: number;
     readonly p99: number;
     readonly max: number;
     readonly count: number;
 }
 
-async function measureSeries(count: number, run: (i: number) => Promise<void>): Promise<Figures> {
+async function measureLatencies(
+    count: number,
+    run: (i: number) => Promise<void>,
+): Promise<LatencySummary> {
     const histogram = hdr.build({ numberOfSignificantValueDigits: 3 });
     for (let i = 0; i < count; i++) {
         const startedAt = performance.now();
@@ -48,18 +51,21 @@
     };
 }
 
-async function measureCommits(workload: Workload): Promise<Figures> {
+async function measureCommitLatencies(workload: Workload): Promise<LatencySummary> {
     const demand = { cores: 99, memoryMb: 1, accelerators: 0 };
-    return measureSeries(COMMITS, async () => {
+    return measureLatencies(COMMIT_COUNT, async () => {
         // Refused at once, so that only the commit is measured, not the worker.
         await workload.submit({ kind: "batch", demand });
     });
 }
 
-async function measureChanges(cluster: Cluster, workload: Workload): Promise<Figures> {
-    const first = (await cluster.listStatuses())[0]?.rulesVersion ?? 1;
-    return measureSeries(CHANGES, async (i) => {
-        const version = first + i;
+async function measureRulesChangeLatencies(
+    cluster: Cluster,
+    workload: Workload,
+): Promise<LatencySummary> {
+    const firstVersion = (await cluster.listStatuses())[0]?.rulesVersion ?? 1;
+    return measureLatencies(RULES_CHANGE_COUNT, async (i) => {
+        const version = firstVersion + i;
         await workload.caller.setRules({
             changeId: `bench-${version}`,
             expectedVersion: version,
@@ -80,15 +86,15 @@
     group: string,
     signal: "SIGKILL" | "SIGSTOP" | "SIGTERM",
 ): Promise<number[]> {
-    const times: number[] = [];
-    for (let i = 0; i < ELECTIONS; i++) {
+    const timesMs: number[] = [];
+    for (let i = 0; i < ELECTION_COUNT; i++) {
         const leader = (await cluster.findLeader(group)) as string;
         const startedAt = performance.now();
         cluster.sendSignal(leader, signal);
         await waitUntil("another leads", async () => {
             return (await cluster.findLeader(group, leader)) !== undefined;
         });
-        times.push(Math.round(performance.now() - startedAt));
+        timesMs.push(Math.round(performance.now() - startedAt));
         if (signal === "SIGSTOP") {
             cluster.sendSignal(leader, "SIGCONT");
         } else {
@@ -101,32 +107,38 @@
             return statuses.every((s) => s.ready);
         });
     }
-    return times;
+    return timesMs;
 }
 
 async function measureRecovery(cluster: Cluster, workload: Workload): Promise<object> {
     const leaders = [await cluster.findLeader("z1"), await cluster.findLeader("config")];
-    const late = [1, 2, 3].map((i) => `e-z1-${i}`).find((id) => !leaders.includes(id)) as string;
-    await cluster.killProcess(late);
+    const laggingId = [1, 2, 3]
+        .map((i) => `e-z1-${i}`)
+        .find((id) => !leaders.includes(id)) as string;
+    await cluster.killProcess(laggingId);
     const demand = { cores: 99, memoryMb: 1, accelerators: 0 };
-    for (let i = 0; i < MISSED / 10; i++) {
+    for (let i = 0; i < MISSED_REQUESTS / 10; i++) {
         await Promise.all(
             Array.from({ length: 10 }, () => workload.submit({ kind: "batch", demand })),
         );
     }
     const startedAt = performance.now();
-    await cluster.startEntry(late);
+    await cluster.startEntry(laggingId);
     const listeningMs = Math.round(performance.now() - startedAt);
     await waitUntil("it has everything", async () => {
         const statuses = await cluster.listStatuses();
         const applied = statuses.flatMap(
             (s) => s.groups.find((g) => g.id === "z1")?.appliedIndex ?? [],
         );
-        const own = statuses.find((s) => s.id === late);
-        return own?.ready === true && Math.max(...applied) - Math.min(...applied) <= 2;
+        const laggingStatus = statuses.find((s) => s.id === laggingId);
+        return laggingStatus?.ready === true && Math.max(...applied) - Math.min(...applied) <= 2;
     });
     const totalMs = Math.round(performance.now() - startedAt);
-    return { missed: MISSED, listeningMs, caughtUpAfterListeningMs: totalMs - listeningMs };
+    return {
+        missed: MISSED_REQUESTS,
+        listeningMs,
+        caughtUpAfterListeningMs: totalMs - listeningMs,
+    };
 }
 
 const instances = Number(process.argv[2] ?? 3);
@@ -140,8 +152,8 @@
 });
 try {
     const workload = new Workload(cluster);
-    const commits = await measureCommits(workload);
-    const changes = await measureChanges(cluster, workload);
+    const commits = await measureCommitLatencies(workload);
+    const changes = await measureRulesChangeLatencies(cluster, workload);
     const recovery = await measureRecovery(cluster, workload);
     const killed = await measureElectionTimes(cluster, "z1", "SIGKILL");
     const frozen = await measureElectionTimes(cluster, "z1", "SIGSTOP");
--- a/bench/heartbeat_slope.ts
+++ b/bench/heartbeat_slope.ts
@@ -25,10 +25,10 @@
 }
 cell.tick(1);
 cell.takeEffects();
-const byWorker = new Map<string, HeldLease[]>();
+const leasesByWorker = new Map<string, HeldLease[]>();
 for (const lease of cell.listLiveLeases()) {
-    byWorker.set(lease.worker, [
-        ...(byWorker.get(lease.worker) ?? []),
+    leasesByWorker.set(lease.worker, [
+        ...(leasesByWorker.get(lease.worker) ?? []),
         {
             lease: lease.id,
             epoch: lease.epoch,
@@ -41,20 +41,20 @@
 let bytes = 0;
 for (let r = 0; r < rounds; r++) {
     for (const worker of cell.listWorkers()) {
-        const leases = byWorker.get(worker.instance.id) ?? [];
+        const leases = leasesByWorker.get(worker.instance.id) ?? [];
         bytes += JSON.stringify({ instance: worker.instance.id, leases }).length;
         cell.handleHeartbeat(worker.instance.id, leases, 2 + r);
     }
     cell.takeEffects();
 }
 const cpu = process.cpuUsage(cpuBefore);
-const beats = rounds * WORKERS;
+const heartbeatCount = rounds * WORKERS;
 const result = {
     command: "npx tsx bench/heartbeat_slope.ts",
     workers: WORKERS,
     liveLeases: cell.listLiveLeases().length,
-    cpuUsPerHeartbeat: Number(((cpu.user + cpu.system) / beats).toFixed(2)),
-    bytesPerHeartbeat: Math.round(bytes / beats),
+    cpuUsPerHeartbeat: Number(((cpu.user + cpu.system) / heartbeatCount).toFixed(2)),
+    bytesPerHeartbeat: Math.round(bytes / heartbeatCount),
     heapUsedMb: Math.round(process.memoryUsage().heapUsed / 1_048_576),
 };
 console.log(result);
--- a/bench/idle_probe.ts
+++ b/bench/idle_probe.ts
@@ -7,9 +7,9 @@
 import { readProcessStats } from "../load/process_stats.ts";
 const workers = Number(process.argv[2] ?? 300);
 const dir = mkdtempSync(join(tmpdir(), "idle-"));
-const inv = join(dir, "inventory.yaml");
+const inventoryFile = join(dir, "inventory.yaml");
 writeFileSync(
-    inv,
+    inventoryFile,
     stringify(
         buildInventory({
             cell: "umhlanga",
@@ -21,18 +21,20 @@
     ),
 );
 const cell = await spawnCell({
-    inventoryFile: inv,
+    inventoryFile,
     rulesFile: "examples/umhlanga/rules.yaml",
     dir,
     zones: ["hall-a", "hall-b", "hall-c"],
 });
 await new Promise((r) => setTimeout(r, 3000));
-const a = [...cell.pids.values()].map((p) => readProcessStats(p).cpuSeconds);
+const cpuSecondsBefore = [...cell.pids.values()].map((p) => readProcessStats(p).cpuSeconds);
 await new Promise((r) => setTimeout(r, 10000));
-const b = [...cell.pids.values()].map((p) => readProcessStats(p).cpuSeconds);
+const cpuSecondsAfter = [...cell.pids.values()].map((p) => readProcessStats(p).cpuSeconds);
 console.log(
     workers,
     "workers idle, share of a core per process over 10 s:",
-    b.map((x, i) => (((x - (a[i] ?? 0)) / 10) * 100).toFixed(1) + "%").join(" "),
+    cpuSecondsAfter
+        .map((seconds, i) => (((seconds - (cpuSecondsBefore[i] ?? 0)) / 10) * 100).toFixed(1) + "%")
+        .join(" "),
 );
 await cell.stop();
--- a/bench/wide_jobs_bench.ts
+++ b/bench/wide_jobs_bench.ts
@@ -33,34 +33,36 @@
 function formatRow({
     name,
     jobs,
-    meanWidth: width,
-    withinObjective: inTime,
+    meanWidth,
+    withinObjective,
     served,
-    medianLatencyMs: medianMs,
+    medianLatencyMs,
 }: WorkloadSummary): string {
     const formatShare = (count: number): string => (count / Math.max(1, jobs)).toFixed(3);
     return (
-        `${name.padEnd(28)}${String(jobs).padStart(5)} jobs of ${width.toFixed(1).padStart(5)} tasks` +
-        `  in time ${formatShare(inTime)}  served ${formatShare(served)}  p50 ${(medianMs / 1_000).toFixed(2)} s`
+        `${name.padEnd(28)}${String(jobs).padStart(5)} jobs of ${meanWidth.toFixed(1).padStart(5)} tasks` +
+        `  in time ${formatShare(withinObjective)}  served ${formatShare(served)}  p50 ${(medianLatencyMs / 1_000).toFixed(2)} s`
     );
 }
 
 for (const seed of values.seeds.split(",").map(Number)) {
-    const troubles = {
+    const faultRates = {
         crashingJobFraction: Number(values.crashing),
         crashesPerSecond: Number(values.crashes),
         capacityChangesPerSecond: Number(values.rooms),
     };
-    const day = new WorkloadSimulation({
+    const simulation = new WorkloadSimulation({
         workers: Number(values.workers),
         seed,
-        faultRates: troubles,
+        faultRates,
     });
     const startedAt = process.cpuUsage();
-    day.run(Number(values.seconds), Number(values.load));
-    const used = process.cpuUsage(startedAt);
-    const cpuSeconds = ((used.user + used.system) / 1e6).toFixed(1);
+    simulation.run(Number(values.seconds), Number(values.load));
+    const cpuUsed = process.cpuUsage(startedAt);
+    const cpuSeconds = ((cpuUsed.user + cpuUsed.system) / 1e6).toFixed(1);
     process.stdout.write(`seed ${seed}, ${cpuSeconds} s of processor\n`);
-    day.listSummaries().forEach((outcome) => process.stdout.write(`${formatRow(outcome)}\n`));
-    process.stdout.write(`${JSON.stringify(day.summarizeFaults())}\n`);
+    simulation
+        .listSummaries()
+        .forEach((summary) => process.stdout.write(`${formatRow(summary)}\n`));
+    process.stdout.write(`${JSON.stringify(simulation.summarizeFaults())}\n`);
 }
--- a/bin/poplarhead_start.ts
+++ b/bin/poplarhead_start.ts
@@ -18,34 +18,34 @@
     readonly runPlatformProcess: typeof runPlatformProcess;
 }
 
-type LoadBundle = (
+type CommonJsWrapper = (
     exports: object,
     require: NodeJS.Require,
     module: { exports: object },
     filename: string,
 ) => void;
 
-const folder = dirname(fileURLToPath(import.meta.url));
-const bundleFile = join(folder, "daemon_bundle.js");
+const bundleDir = dirname(fileURLToPath(import.meta.url));
+const bundleFile = join(bundleDir, "daemon_bundle.js");
 const [role = "", option] = process.argv.slice(2);
-const cacheFile = join(folder, `code_cache_${role}.bin`);
+const cacheFile = join(bundleDir, `code_cache_${role}.bin`);
 
 // The engine refuses compiled code of another version or other flags, and compiles as usual then.
 const script = new Script(readFileSync(bundleFile, "utf8"), {
     filename: bundleFile,
     cachedData: existsSync(cacheFile) ? readFileSync(cacheFile) : undefined,
 });
-const bundle: { exports: object } = { exports: {} };
-(script.runInThisContext() as LoadBundle)(
-    bundle.exports,
+const bundleModule: { exports: object } = { exports: {} };
+(script.runInThisContext() as CommonJsWrapper)(
+    bundleModule.exports,
     createRequire(import.meta.url),
-    bundle,
+    bundleModule,
     bundleFile,
 );
-const daemon = bundle.exports as DaemonBundle;
+const daemon = bundleModule.exports as DaemonBundle;
 void daemon.runPlatformProcess(role, process.env["POPLARHEAD_SETTINGS"] ?? "").then(() => {
     if (option === "--write-code-cache") {
-        const file = join(folder, `${role}.${process.pid}.code_cache`);
+        const file = join(bundleDir, `${role}.${process.pid}.code_cache`);
         writeFileSync(file, script.createCachedData());
     }
     process.exit(0);
--- a/cli/demo_command.ts
+++ b/cli/demo_command.ts
@@ -38,28 +38,28 @@
 
     /** @returns 0 when every request reached an end state. */
     async execute(): Promise<number> {
-        const base = this.dir ?? mkdtempSync(join(tmpdir(), "poplarhead-demo-"));
+        const baseDir = this.dir ?? mkdtempSync(join(tmpdir(), "poplarhead-demo-"));
         let allFinal = true;
         for (const deployment of DEPLOYMENTS) {
-            const examples = fileURLToPath(
+            const examplesDir = fileURLToPath(
                 new URL(`../examples/${deployment.name}/`, import.meta.url),
             );
             const cell = await spawnCell({
-                inventoryFile: join(examples, "inventory.yaml"),
-                rulesFile: join(examples, "rules.yaml"),
-                dir: join(base, deployment.name),
+                inventoryFile: join(examplesDir, "inventory.yaml"),
+                rulesFile: join(examplesDir, "rules.yaml"),
+                dir: join(baseDir, deployment.name),
                 zones: deployment.zones,
             });
             try {
-                const started = Date.now();
-                const answers = await new Caller({
+                const startedAtMs = Date.now();
+                const statuses = await new Caller({
                     entry: cell.entry,
                     completionTimeoutMs: 60_000,
                 }).runAll(buildMix(deployment.name, Number(this.requests), 7));
                 this.context.stdout.write(
-                    formatSummary(deployment.name, answers, Date.now() - started),
+                    formatSummary(deployment.name, statuses, Date.now() - startedAtMs),
                 );
-                allFinal &&= answers.every((a) => a.final);
+                allFinal &&= statuses.every((a) => a.final);
             } finally {
                 await cell.stop();
             }
@@ -76,35 +76,35 @@
  * Formats end states and waiting times per kind.
  *
  * @param name The deployment.
- * @param answers The last answers.
+ * @param statuses The last answers.
  * @param elapsedMs How long the run took.
  * @returns The summary text.
  */
 export function formatSummary(
     name: string,
-    answers: readonly RequestStatus[],
+    statuses: readonly RequestStatus[],
     elapsedMs: number,
 ): string {
     const states = new Map<string, number>();
-    const waits = new Map<string, hdr.Histogram>();
-    for (const answer of answers) {
-        states.set(answer.state, (states.get(answer.state) ?? 0) + 1);
-        if (answer.startedAt !== undefined) {
+    const waitHistograms = new Map<string, hdr.Histogram>();
+    for (const status of statuses) {
+        states.set(status.state, (states.get(status.state) ?? 0) + 1);
+        if (status.startedAt !== undefined) {
             const histogram =
-                waits.get(answer.kind) ??
+                waitHistograms.get(status.kind) ??
                 hdr.build({
                     lowestDiscernibleValue: 1,
                     highestTrackableValue: 3_600_000,
                     numberOfSignificantValueDigits: 3,
                 });
-            histogram.recordValue(Math.max(1, answer.startedAt - answer.acceptedAt));
-            waits.set(answer.kind, histogram);
+            histogram.recordValue(Math.max(1, status.startedAt - status.acceptedAt));
+            waitHistograms.set(status.kind, histogram);
         }
     }
     const lines = [
-        `${name}: ${answers.length} requests in ${elapsedMs} ms; ${[...states].map(([s, n]) => `${s} ${n}`).join(", ")}`,
+        `${name}: ${statuses.length} requests in ${elapsedMs} ms; ${[...states].map(([s, n]) => `${s} ${n}`).join(", ")}`,
     ];
-    for (const [kind, histogram] of waits) {
+    for (const [kind, histogram] of waitHistograms) {
         lines.push(
             `  wait ${kind.padEnd(11)} p50 ${histogram.getValueAtPercentile(50)} ms  p99 ${histogram.getValueAtPercentile(99)} ms  max ${histogram.maxValue} ms  (n=${histogram.totalCount})`,
         );
--- a/cli/load_command.ts
+++ b/cli/load_command.ts
@@ -67,11 +67,11 @@
                 `${JSON.stringify({ command: `poplarhead load --experiment ${this.experiment} --workers ${experiment.workers} --rate ${experiment.ratePerSecond} --instances ${experiment.instances}`, at: new Date().toISOString(), report }, null, 2)}\n`,
             );
         }
-        const unfinished =
+        const unfinishedCount =
             report.requests -
             Object.entries(report.states)
                 .filter(([s]) => ["completed", "refused", "failed", "cancelled"].includes(s))
                 .reduce((n, [, c]) => n + c, 0);
-        return unfinished === 0 ? 0 : 1;
+        return unfinishedCount === 0 ? 0 : 1;
     }
 }
--- a/cli/operator_commands.ts
+++ b/cli/operator_commands.ts
@@ -25,7 +25,7 @@
     listStageRows,
     mergeTimeline,
 } from "../telemetry/mod.ts";
-import { loadSettingsFiles } from "./files.ts";
+import { loadSettingsFiles } from "./settings_files.ts";
 
 abstract class EntryClientCommand extends Command {
     entry = Option.String("--entry", {
@@ -207,8 +207,8 @@
     /** @returns The exit code. */
     async execute(): Promise<number> {
         const texts = this.files.map((file) => readFileSync(file, "utf8"));
-        const since = parseTime(this.since, Number.NEGATIVE_INFINITY);
-        const until = parseTime(this.until, Number.POSITIVE_INFINITY);
+        const since = parseTimeMs(this.since, Number.NEGATIVE_INFINITY);
+        const until = parseTimeMs(this.until, Number.POSITIVE_INFINITY);
         for (const event of mergeTimeline(texts, { request: this.request })) {
             if (event.t >= since && event.t <= until) {
                 this.context.stdout.write(`${formatEvent(event)}\n`);
@@ -249,7 +249,7 @@
 
     /** @returns The exit code. */
     async execute(): Promise<number> {
-        const spanMs = parseSpan(this.span);
+        const spanMs = parseSpanMs(this.span);
         const texts = this.files.map((file) => readFileSync(file, "utf8"));
         const rows = listCauseRows(mergeTimeline(texts), { spanMs });
         this.context.stdout.write(`${formatCauses(rows)}\n`);
@@ -270,7 +270,7 @@
 
     /** @returns The exit code. */
     async execute(): Promise<number> {
-        const spanMs = this.span === undefined ? undefined : parseSpan(this.span);
+        const spanMs = this.span === undefined ? undefined : parseSpanMs(this.span);
         const texts = this.files.map((file) => readFileSync(file, "utf8"));
         const rows = listStageRows(mergeTimeline(texts), { spanMs });
         this.context.stdout.write(`${formatStages(rows)}\n`);
@@ -278,7 +278,7 @@
     }
 }
 
-function parseSpan(text: string): number {
+function parseSpanMs(text: string): number {
     const spanMs = Number(text) * 1_000;
     if (!(spanMs > 0)) {
         throw new UsageError(`not a length of time: ${text}`);
@@ -286,9 +286,9 @@
     return spanMs;
 }
 
-function parseTime(text: string | undefined, otherwise: number): number {
+function parseTimeMs(text: string | undefined, defaultMs: number): number {
     if (text === undefined) {
-        return otherwise;
+        return defaultMs;
     }
     const ms = /^\d+$/.test(text) ? Number(text) : Date.parse(text);
     if (Number.isNaN(ms)) {
--- a/cli/process_commands.ts
+++ b/cli/process_commands.ts
@@ -15,7 +15,7 @@
 import { createId, type InstanceId } from "../inventory/mod.ts";
 import { WorkerHost } from "../standin/mod.ts";
 import { createLogger } from "../telemetry/mod.ts";
-import { loadSettingsFiles } from "./files.ts";
+import { loadSettingsFiles } from "./settings_files.ts";
 
 /** `poplarhead entry`: runs an entry instance until SIGTERM or SIGINT. */
 export class EntryCommand extends Command {
@@ -76,7 +76,7 @@
         });
         const address = await entry.start();
         this.context.stdout.write(`${JSON.stringify({ listening: address })}\n`);
-        await waitForSignal();
+        await waitForShutdownSignal();
         await entry.stop();
         return 0;
     }
@@ -125,7 +125,7 @@
         this.context.stdout.write(
             `${JSON.stringify({ listening: address, workers: instances.length })}\n`,
         );
-        await waitForSignal();
+        await waitForShutdownSignal();
         await host.stop();
         return 0;
     }
@@ -136,7 +136,7 @@
  *
  * @returns When one arrives.
  */
-export function waitForSignal(): Promise<void> {
+export function waitForShutdownSignal(): Promise<void> {
     return new Promise((resolve) => {
         process.once("SIGTERM", () => resolve());
         process.once("SIGINT", () => resolve());
--- a/cli/files.ts
+++ b/cli/settings_files.ts
@@ -3,7 +3,7 @@
  *
  * @example
  * ```ts
- * import { loadSettingsFiles } from "./files.ts";
+ * import { loadSettingsFiles } from "./settings_files.ts";
  * const { inventory, rules } = loadSettingsFiles("inventory.yaml", "rules.yaml");
  * ```
  *
@@ -41,7 +41,7 @@
     deploymentFile?: string,
 ): SettingsFiles {
     const findings: Finding[] = [];
-    const load = <T>(file: string, parse: (file: string, text: string) => T): T | undefined => {
+    const loadFile = <T>(file: string, parse: (file: string, text: string) => T): T | undefined => {
         try {
             return parse(file, readFileSync(file, "utf8"));
         } catch (error) {
@@ -49,10 +49,10 @@
             return undefined;
         }
     };
-    const inventory = load(inventoryFile, loadInventoryText);
-    const rules = load(rulesFile, loadRulesText);
+    const inventory = loadFile(inventoryFile, loadInventoryText);
+    const rules = loadFile(rulesFile, loadRulesText);
     const deployment =
-        deploymentFile === undefined ? undefined : load(deploymentFile, loadDeploymentText);
+        deploymentFile === undefined ? undefined : loadFile(deploymentFile, loadDeploymentText);
     if (inventory !== undefined && deployment !== undefined && deploymentFile !== undefined) {
         findings.push(...checkZones(deployment, inventory, deploymentFile));
     }
@@ -64,12 +64,12 @@
 
 /** Zones that the deployment names must be in the inventory. */
 function checkZones(deployment: Deployment, inventory: Inventory, file: string): Finding[] {
-    const named = [
+    const zoneReferences = [
         ...deployment.members.map((m) => [m.zone, `members ${m.id}`] as const),
         ...deployment.groups.flatMap((g) => g.zones.map((z) => [z, `groups ${g.id}`] as const)),
         ...[...deployment.callers].map(([c, z]) => [z, `callers ${c}`] as const),
     ];
-    return named
+    return zoneReferences
         .filter(([zone]) => !inventory.zones.includes(zone))
         .map(([zone, path]) => ({
             file,
--- a/examples/build_examples.ts
+++ b/examples/build_examples.ts
@@ -48,10 +48,10 @@
 export function buildInventory(deployment: Deployment, workers = deployment.workers): object {
     const racks: { id: string; zone: string; instances: object[] }[] = [];
     const executors: object[] = [];
-    const perZone = Math.ceil(workers / deployment.zones.length);
-    let made = 0;
+    const workersPerZone = Math.ceil(workers / deployment.zones.length);
+    let createdCount = 0;
     deployment.zones.forEach((zone) => {
-        for (let i = 0; i < perZone && made < workers; i++, made++) {
+        for (let i = 0; i < workersPerZone && createdCount < workers; i++, createdCount++) {
             const rackIndex = Math.floor(i / WORKERS_PER_RACK) + 1;
             const rackId = `${zone}-r${rackIndex}`;
             let rack = racks.find((r) => r.id === rackId);
--- a/tools/build_daemons.ts
+++ b/tools/build_daemons.ts
@@ -25,9 +25,9 @@
 import { runWarmUp, type DaemonRole } from "../platform/warm_up.ts";
 
 /** Where everything goes that is built. */
-const TARGET = process.argv[2] ?? "target";
+const OUTPUT_DIR = process.argv[2] ?? "target";
 const DEPLOY_FILE = "deploy/system.toml";
-const CHARTS = ["log/role_chart.yaml", "job/job_chart.yaml"];
+const STATE_CHARTS = ["log/role_chart.yaml", "job/job_chart.yaml"];
 /** Ends the names of the files in which daemons keep their compiled code. */
 const CACHE_SUFFIX = ".code_cache";
 
@@ -47,7 +47,7 @@
     await build({
         ...SHARED_OPTIONS,
         entryPoints: ["platform/main.ts"],
-        outfile: join(TARGET, "daemon_bundle.js"),
+        outfile: join(OUTPUT_DIR, "daemon_bundle.js"),
         banner: {
             js: `(function (exports, require, module, filename) {
 const moduleUrl = require("node:url").pathToFileURL(filename).href;`,
@@ -57,48 +57,52 @@
     await build({
         ...SHARED_OPTIONS,
         entryPoints: ["bin/poplarhead_start.ts"],
-        outfile: join(TARGET, "poplarhead_start.cjs"),
+        outfile: join(OUTPUT_DIR, "poplarhead_start.cjs"),
         banner: { js: `const moduleUrl = require("node:url").pathToFileURL(__filename).href;` },
     });
 }
 
 /** Writes the charts as JSON, which is YAML too and is parsed in a fraction of the time. */
-function writeCharts(): void {
-    for (const chart of CHARTS) {
+function writeStateCharts(): void {
+    for (const chart of STATE_CHARTS) {
         const value = parseYaml(readFileSync(chart, "utf8"));
-        writeFileSync(join(TARGET, basename(chart)), JSON.stringify(value));
+        writeFileSync(join(OUTPUT_DIR, basename(chart)), JSON.stringify(value));
     }
 }
 
 /** The flags of the engine that a role is deployed with: compiled code is of use only under the same. */
-function listEngineFlags(role: DaemonRole): string[] {
-    const line = new RegExp(`^run = "node (.*) target/poplarhead_start.cjs ${role}"`, "m").exec(
-        readFileSync(DEPLOY_FILE, "utf8"),
-    );
-    if (line?.[1] === undefined) {
+function listNodeFlags(role: DaemonRole): string[] {
+    const runCommand = new RegExp(
+        `^run = "node (.*) target/poplarhead_start.cjs ${role}"`,
+        "m",
+    ).exec(readFileSync(DEPLOY_FILE, "utf8"));
+    if (runCommand?.[1] === undefined) {
         throw new Error(`${DEPLOY_FILE} does not say how ${role} is run`);
     }
-    return line[1].split(" ");
+    return runCommand[1].split(" ");
 }
 
 /** Keeps the compiled code of the daemon of each role that did most. */
 function selectCodeCaches(): void {
     for (const role of ["front", "control"]) {
-        const caches = readdirSync(TARGET)
+        const caches = readdirSync(OUTPUT_DIR)
             .filter((name) => name.startsWith(`${role}.`) && name.endsWith(CACHE_SUFFIX))
-            .map((name) => join(TARGET, name))
+            .map((name) => join(OUTPUT_DIR, name))
             .sort((a, b) => statSync(b).size - statSync(a).size);
         const [largest, ...others] = caches;
         if (largest !== undefined) {
-            renameSync(largest, join(TARGET, `code_cache_${role}.bin`));
+            renameSync(largest, join(OUTPUT_DIR, `code_cache_${role}.bin`));
         }
         others.forEach((file) => rmSync(file));
     }
 }
 
-rmSync(TARGET, { recursive: true, force: true });
-mkdirSync(TARGET, { recursive: true });
-writeCharts();
+rmSync(OUTPUT_DIR, { recursive: true, force: true });
+mkdirSync(OUTPUT_DIR, { recursive: true });
+writeStateCharts();
 await buildBundles();
-await runWarmUp({ startScript: join(TARGET, "poplarhead_start.cjs"), listFlags: listEngineFlags });
+await runWarmUp({
+    startScript: join(OUTPUT_DIR, "poplarhead_start.cjs"),
+    listFlags: listNodeFlags,
+});
 selectCodeCaches();
--- a/tools/build_daemons_test.ts
+++ b/tools/build_daemons_test.ts
@@ -5,7 +5,7 @@
 import test from "ava";
 
 /** Flags of the engine in the deploy file that bear on a front's compiled code. */
-const FRONT_FLAGS = ["--max-old-space-size=160"];
+const FRONT_NODE_FLAGS = ["--max-old-space-size=160"];
 const HOST = "127.0.0.21";
 const PORT = 27_900;
 /** Prints whether the engine takes the compiled code that was kept. */
@@ -39,7 +39,7 @@
         const check = spawnSync(
             process.execPath,
             [
-                ...FRONT_FLAGS,
+                ...FRONT_NODE_FLAGS,
                 "-e",
                 CHECK_SCRIPT,
                 join(dir, "daemon_bundle.js"),
@@ -48,7 +48,7 @@
             { encoding: "utf8" },
         );
         t.is(check.stdout.trim(), "false", check.stderr);
-        t.true(await isStarted(dir));
+        t.true(await checkFrontStarts(dir));
     },
 );
 
@@ -74,7 +74,7 @@
 }
 
 /** Starts the built front and tells whether it listens and ends as told. */
-async function isStarted(dir: string): Promise<boolean> {
+async function checkFrontStarts(dir: string): Promise<boolean> {
     const settings = join(dir, "boot.yaml");
     writeFileSync(
         settings,
@@ -89,7 +89,7 @@
         }),
     );
     const starter = resolve(dir, "poplarhead_start.cjs");
-    const child = spawn(process.execPath, [...FRONT_FLAGS, starter, "front"], {
+    const child = spawn(process.execPath, [...FRONT_NODE_FLAGS, starter, "front"], {
         stdio: ["ignore", "pipe", "inherit"],
         env: { ...process.env, POPLARHEAD_SETTINGS: settings },
     });
--- a/tools/run_tests.ts
+++ b/tools/run_tests.ts
@@ -13,11 +13,11 @@
 import { spawn } from "node:child_process";
 import { existsSync, readFileSync } from "node:fs";
 import { createInterface } from "node:readline";
-import { checkResults, parseKnownRed, parseTapLine, type TestResult } from "./test_results.ts";
+import { checkResults, parseKnownFailures, parseTapLine, type TestResult } from "./test_results.ts";
 
-const KNOWN_RED_FILE = "KNOWN-RED.txt";
-const knownRed = existsSync(KNOWN_RED_FILE)
-    ? parseKnownRed(readFileSync(KNOWN_RED_FILE, "utf8"))
+const KNOWN_FAILURES_FILE = "KNOWN-RED.txt";
+const knownFailures = existsSync(KNOWN_FAILURES_FILE)
+    ? parseKnownFailures(readFileSync(KNOWN_FAILURES_FILE, "utf8"))
     : [];
 const results: TestResult[] = [];
 const child = spawn("npx", ["ava", "--tap", ...process.argv.slice(2)], {
@@ -39,7 +39,7 @@
         resolve(child.exitCode);
     }
 });
-const verdict = checkResults(results, knownRed, exitCode);
-verdict.notes.forEach((note) => process.stdout.write(`${note}\n`));
-process.stdout.write(`${verdict.passed} passed, ${verdict.failed} failed\n`);
-process.exitCode = verdict.isGood ? 0 : 1;
+const runResult = checkResults(results, knownFailures, exitCode);
+runResult.notes.forEach((note) => process.stdout.write(`${note}\n`));
+process.stdout.write(`${runResult.passed} passed, ${runResult.failed} failed\n`);
+process.exitCode = runResult.isSuccessful ? 0 : 1;
--- a/tools/test_results.ts
+++ b/tools/test_results.ts
@@ -17,7 +17,7 @@
 }
 
 /** One line of the list of known failures. */
-export interface KnownRed {
+export interface KnownFailure {
     /** The test's whole title. */
     readonly title: string;
     /** The whole line, for printing. */
@@ -25,10 +25,10 @@
 }
 
 /** The outcome of a whole run. */
-export interface Verdict {
+export interface RunResult {
     readonly passed: number;
     readonly failed: number;
-    readonly isGood: boolean;
+    readonly isSuccessful: boolean;
     readonly notes: readonly string[];
 }
 
@@ -54,7 +54,7 @@
  * @param text The file's text.
  * @returns The entries.
  */
-export function parseKnownRed(text: string): KnownRed[] {
+export function parseKnownFailures(text: string): KnownFailure[] {
     return text
         .split("\n")
         .map((line) => line.trim())
@@ -66,19 +66,19 @@
  * Weighs results against the list.
  *
  * @param results Every test's outcome.
- * @param knownRed The known failures.
+ * @param knownFailures The known failures.
  * @param exitCode The test runner's exit code.
  * @returns Counts, what to print, and whether the run is good. A failure that is not listed, a run
  * without tests, and a runner that failed without a failing test are not.
  */
 export function checkResults(
     results: readonly TestResult[],
-    knownRed: readonly KnownRed[],
+    knownFailures: readonly KnownFailure[],
     exitCode: number,
-): Verdict {
+): RunResult {
     const notes: string[] = [];
     const failures = results.filter((result) => !result.isPassed);
-    for (const known of knownRed) {
+    for (const known of knownFailures) {
         const result = results.find((r) => r.title === known.title);
         if (result === undefined) {
             notes.push(`known red, but did not run: ${known.line}`);
@@ -87,17 +87,17 @@
             notes.push(`known red, ${state}: ${known.line}`);
         }
     }
-    const listed = new Set(knownRed.map((known) => known.title));
+    const listed = new Set(knownFailures.map((known) => known.title));
     const unlisted = failures.filter((failure) => !listed.has(failure.title));
     unlisted.forEach((failure) => notes.push(`failed: ${failure.title}`));
-    const isRunnerBroken = exitCode !== 0 && failures.length === 0;
-    if (isRunnerBroken) {
+    const hasRunnerFailed = exitCode !== 0 && failures.length === 0;
+    if (hasRunnerFailed) {
         notes.push(`the test runner ended with code ${exitCode}`);
     }
     return {
         passed: results.length - failures.length,
         failed: failures.length,
-        isGood: results.length > 0 && unlisted.length === 0 && !isRunnerBroken,
+        isSuccessful: results.length > 0 && unlisted.length === 0 && !hasRunnerFailed,
         notes,
     };
 }
--- a/tools/test_results_test.ts
+++ b/tools/test_results_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { checkResults, parseKnownRed, parseTapLine } from "./test_results.ts";
+import { checkResults, parseKnownFailures, parseTapLine } from "./test_results.ts";
 
 test("TAP lines give titles and outcomes", (t) => {
     t.deepEqual(parseTapLine("ok 1 - log › one"), { title: "log › one", isPassed: true });
@@ -8,17 +8,17 @@
 });
 
 test("a listed failure passes, an unlisted one and a run without tests do not", (t) => {
-    const known = parseKnownRed("# note\n\ntwo | npx ava x, seed 3: seen twice | issue 9\n");
+    const known = parseKnownFailures("# note\n\ntwo | npx ava x, seed 3: seen twice | issue 9\n");
     const red = { title: "two", isPassed: false };
-    t.true(checkResults([red, { title: "one", isPassed: true }], known, 1).isGood);
-    t.false(checkResults([{ title: "one", isPassed: false }], known, 1).isGood);
-    t.false(checkResults([], [], 0).isGood);
-    t.false(checkResults([{ title: "one", isPassed: true }], [], 1).isGood);
+    t.true(checkResults([red, { title: "one", isPassed: true }], known, 1).isSuccessful);
+    t.false(checkResults([{ title: "one", isPassed: false }], known, 1).isSuccessful);
+    t.false(checkResults([], [], 0).isSuccessful);
+    t.false(checkResults([{ title: "one", isPassed: true }], [], 1).isSuccessful);
 });
 
 test("a listed test that passes again is reported", (t) => {
-    const known = parseKnownRed("two | cause | issue 9");
-    const verdict = checkResults([{ title: "two", isPassed: true }], known, 0);
-    t.true(verdict.isGood);
-    t.regex(verdict.notes[0] ?? "", /passes again/);
+    const known = parseKnownFailures("two | cause | issue 9");
+    const runResult = checkResults([{ title: "two", isPassed: true }], known, 0);
+    t.true(runResult.isSuccessful);
+    t.regex(runResult.notes[0] ?? "", /passes again/);
 });
