--- a/bench/bench.ts
+++ b/bench/bench.ts
@@ -1,9 +1,7 @@
 /**
- * `npm run bench`: placement speed and the entry process's cost, not a test. It drives the
- * Cell directly (no network) at the brief's size (30 workers) and at 1,100 workers: a stream of
- * mixed requests, each task completing a while after it starts, and reports placements per
- * second, decision time p50/p99 per tick (hdr-histogram-js), packing while work is queued,
- * CPU and memory per placement. Figures go to bench/results/ as JSON.
+ * Measures placement throughput and the cost of a scheduling tick on a `Cell` in this process,
+ * without a network, at 30 and 1,100 workers. Writes the results to
+ * `bench/results/bench-cell.json`.
  *
  * @example
  * ```sh
@@ -21,11 +19,11 @@
 const KINDS = ["preview", "batch", "hero", "reel", "gang", "service"];
 
 /**
- * Runs one size.
+ * Runs the benchmark at one cluster size.
  *
- * @param workers Workers in the cell.
- * @param requests Requests to push through.
- * @returns The figures.
+ * @param workers Number of workers in the cell.
+ * @param requests Number of requests to submit.
+ * @returns The measurements by name; each name ends in its unit where it has one.
  */
 export function runBench(workers: number, requests: number): Record<string, number> {
     const cell = buildCell({ workers, leaseTtlMs: 1e12 });
--- a/bench/cluster_bench.ts
+++ b/bench/cluster_bench.ts
@@ -1,8 +1,7 @@
 /**
- * What replication costs and how fast it recovers, on real processes on loopback: commit latency,
- * the time to elect after a leader dies or is frozen, the time until a rules change is in force on
- * every instance, and the recovery of an instance behind many changes. Not a test; figures go to
- * `bench/results/cluster-<instances>.json`. Every loop is bounded.
+ * Measures replication between real processes on loopback: commit latency, election time after the
+ * leader is killed, frozen or stopped, propagation time of a rules change, and catch-up time of a
+ * lagging instance. Writes the results to `bench/results/cluster-<instances>.json`.
  *
  * @example
  * ```sh
@@ -24,7 +23,7 @@
 const MISSED_REQUESTS = 1_000;
 const ALL_ZONES = ["z1", "z2", "z3"];
 
-/** Percentiles of a series, in ms. */
+/** Latency percentiles in ms. */
 interface LatencySummary {
     readonly p50: number;
     readonly p99: number;
@@ -54,7 +53,7 @@
 async function measureCommitLatencies(workload: Workload): Promise<LatencySummary> {
     const demand = { cores: 99, memoryMb: 1, accelerators: 0 };
     return measureLatencies(COMMIT_COUNT, async () => {
-        // Refused at once, so that only the commit is measured, not the worker.
+        // No worker can meet the demand: the request is refused and only the commit is measured.
         await workload.submit({ kind: "batch", demand });
     });
 }
@@ -80,7 +79,7 @@
     });
 }
 
-/** Times of elections alone: restarts are outside the measured part. */
+/** Measures election times in ms, without the restart of the previous leader. */
 async function measureElectionTimes(
     cluster: Cluster,
     group: string,
--- a/bench/dispatch_bench.ts
+++ b/bench/dispatch_bench.ts
@@ -1,7 +1,7 @@
 /**
- * What the leader's decisions cost on a large floor: a simulated day of three queues on stand-in
- * workers in virtual time, with a burst beyond the floor's room and a spell in which part of the
- * workers answer nothing. Prints processor time of the decisions and who was in time.
+ * Measures the CPU cost of the leader's scheduling decisions and the number of jobs that complete
+ * within their latency objective. Simulates three queues in virtual time, with a burst above
+ * capacity and a period in which orders to every eighth worker are lost.
  *
  * @example
  * ```sh
@@ -29,7 +29,7 @@
 const seconds = Number(values.seconds);
 const random = createRandom(Number(values.seed));
 
-/** Traffic of one queue on a floor of 245 workers; other floors get their share. */
+/** Traffic of one queue; the rate applies to `REFERENCE_WORKERS` workers and scales with them. */
 interface QueueTraffic {
     readonly queue: QueueConfig;
     readonly jobsPerSecond: number;
@@ -43,7 +43,7 @@
 const COMPOSITES = "composites" as QueueName;
 const VARIANTS = "variants" as QueueName;
 const PREVIEWS = "previews" as QueueName;
-/** Rates, widths and sizes of the larger deployment's sheet. */
+/** Arrival rates, tasks per job and task sizes of the larger deployment. */
 const traffic: readonly QueueTraffic[] = [
     {
         queue: buildQueue({
--- a/bench/heartbeat_slope.ts
+++ b/bench/heartbeat_slope.ts
@@ -1,7 +1,6 @@
 /**
- * Measures the slopes of heartbeats for docs/CAPACITY.md: entry CPU per worker heartbeat and
- * bytes per heartbeat, with 8 leases a worker (9,100 tasks over 1,100 workers is about 8).
- * Run: `npx tsx bench/heartbeat_slope.ts`; writes bench/results/heartbeat-slope.json.
+ * Measures entry CPU time and payload bytes per worker heartbeat, at 1,100 workers with 8 leases
+ * each, for `docs/CAPACITY.md`. Writes the results to `bench/results/heartbeat-slope.json`.
  *
  * @example
  * ```sh
--- a/bench/idle_probe.ts
+++ b/bench/idle_probe.ts
@@ -1,3 +1,14 @@
+/**
+ * Measures the CPU share of each process of an idle local cell over 10 s.
+ *
+ * @example
+ * ```sh
+ * npx tsx bench/idle_probe.ts 300
+ * ```
+ *
+ * @module
+ */
+
 import { mkdtempSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
--- a/bench/wide_jobs_bench.ts
+++ b/bench/wide_jobs_bench.ts
@@ -1,7 +1,7 @@
 /**
- * How a full floor treats its widest jobs: prints for each queue, and for the largest tenth of its jobs and the
- * fifth below it, how many were in time and served on a day in virtual time, and how long they took; with troubles
- * also what they led to.
+ * Measures how a loaded cluster serves its widest jobs, in virtual time. Prints latency and service
+ * figures for each queue, for the widest tenth of its jobs and for the fifth below it, and a
+ * summary of the injected faults.
  *
  * @example
  * ```sh
@@ -21,11 +21,11 @@
         seconds: { type: "string", default: "30" },
         load: { type: "string", default: "0.9" },
         seeds: { type: "string", default: "1" },
-        /** Share of the jobs that crash their workers. */
+        /** Fraction of jobs that crash their workers. */
         crashing: { type: "string", default: "0" },
-        /** Workers that crash by themselves, a second. */
+        /** Worker crashes per second that no job causes. */
         crashes: { type: "string", default: "0" },
-        /** Workers whose room changes, a second. */
+        /** Worker capacity changes per second. */
         rooms: { type: "string", default: "0" },
     },
 });
--- a/bin/poplarhead.ts
+++ b/bin/poplarhead.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env -S node --import tsx
 /**
- * The `poplarhead` command line: operators' commands, and the processes of a local cell.
+ * Runs the `poplarhead` command-line interface.
  *
  * @module
  */
--- a/bin/poplarhead_entry.ts
+++ b/bin/poplarhead_entry.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env -S node --import tsx
 /**
- * The entry instance binary: `poplarhead_entry --inventory ... --rules ...`.
+ * Runs an entry instance: `poplarhead_entry --inventory ... --rules ...`.
  *
  * @module
  */
--- a/bin/poplarhead_platform.ts
+++ b/bin/poplarhead_platform.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * A process on the users' platform, from its sources: `poplarhead_platform front|control`. Deployed, the
- * same daemon is started from its bundle by `poplarhead_start`.
+ * Runs a platform daemon from source: `poplarhead_platform front|control`. In a deployment,
+ * `poplarhead_start` runs the same daemon from its bundle.
  *
  * @module
  */
--- a/bin/poplarhead_start.ts
+++ b/bin/poplarhead_start.ts
@@ -1,7 +1,6 @@
 /**
- * Starts a daemon from its bundle: `poplarhead_start front|control`. The pattern: after a loss of power
- * all processes start in the same second, on small processors that are charged for compiling, and nobody
- * is served before they listen. The bundle is one file, and comes with what the engine compiled when it was built.
+ * Starts a daemon from its bundle: `poplarhead_start front|control`. A V8 code cache saves compile
+ * time at startup, which matters when all processes restart at once on small machines.
  *
  * @module
  */
@@ -13,11 +12,12 @@
 import { Script } from "node:vm";
 import type { runPlatformProcess } from "../platform/main.ts";
 
-/** What the bundle exports. */
+/** Exports of the bundle. */
 interface DaemonBundle {
     readonly runPlatformProcess: typeof runPlatformProcess;
 }
 
+/** Signature of the function that wraps the bundle, as in a CommonJS module. */
 type CommonJsWrapper = (
     exports: object,
     require: NodeJS.Require,
@@ -30,7 +30,7 @@
 const [role = "", option] = process.argv.slice(2);
 const cacheFile = join(bundleDir, `code_cache_${role}.bin`);
 
-// The engine refuses compiled code of another version or other flags, and compiles as usual then.
+// V8 rejects a code cache from another version or other flags, and compiles the source instead.
 const script = new Script(readFileSync(bundleFile, "utf8"), {
     filename: bundleFile,
     cachedData: existsSync(cacheFile) ? readFileSync(cacheFile) : undefined,
--- a/cli/demo_command.ts
+++ b/cli/demo_command.ts
@@ -1,6 +1,6 @@
 /**
- * `poplarhead demo`: brings up a local cell per example deployment as real processes, sends
- * each its request mix, waits for every request to end, prints a summary and shuts down.
+ * `poplarhead demo`: runs a local cell of real processes for each example deployment, sends it a
+ * mix of requests, and prints a summary when all have ended.
  *
  * @example
  * ```sh
@@ -26,7 +26,7 @@
     { name: "caruaru", zones: ["capela-norte", "capela-sul", "sede"] },
 ];
 
-/** `poplarhead demo`. */
+/** `poplarhead demo`: runs both example deployments on a local cell. */
 export class DemoCommand extends Command {
     static override paths = [["demo"]];
     static override usage = Command.Usage({
@@ -36,7 +36,7 @@
     requests = Option.String("--requests", "200");
     dir = Option.String("--dir");
 
-    /** @returns 0 when every request reached an end state. */
+    /** @returns 0 if every request reached a final state, 1 otherwise. */
     async execute(): Promise<number> {
         const baseDir = this.dir ?? mkdtempSync(join(tmpdir(), "poplarhead-demo-"));
         let allFinal = true;
@@ -73,11 +73,11 @@
 }
 
 /**
- * Formats end states and waiting times per kind.
+ * Formats the number of requests per state and the waiting times per kind.
  *
- * @param name The deployment.
- * @param statuses The last answers.
- * @param elapsedMs How long the run took.
+ * @param name The deployment's name.
+ * @param statuses The last known status of each request.
+ * @param elapsedMs Duration of the run in ms.
  * @returns The summary text.
  */
 export function formatSummary(
--- a/cli/load_command.ts
+++ b/cli/load_command.ts
@@ -1,6 +1,6 @@
 /**
- * `poplarhead load`: runs an experiment file against real processes on loopback and prints
- * the report; the JSON goes to `--out`.
+ * `poplarhead load`: runs a load experiment against real processes on loopback, prints the report
+ * and writes it as JSON to `--out`.
  *
  * @example
  * ```sh
@@ -18,7 +18,7 @@
 import { loadExperimentText, type Experiment } from "../load/experiment.ts";
 import { formatReport, runExperiment } from "../load/run_load.ts";
 
-/** `poplarhead load`. */
+/** `poplarhead load`: runs a load experiment on a local cell. */
 export class LoadCommand extends Command {
     static override paths = [["load"]];
     static override usage = Command.Usage({
@@ -33,7 +33,7 @@
     });
     out = Option.String("--out");
 
-    /** @returns 0 when every request reached an end state. */
+    /** @returns 0 if every request reached a final state, 1 otherwise. */
     async execute(): Promise<number> {
         let experiment: Experiment;
         try {
--- a/cli/mod.ts
+++ b/cli/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The `poplarhead` command line.
+ * Defines the `poplarhead` command-line interface.
  *
  * @example
  * ```ts
@@ -29,9 +29,9 @@
 import { EntryCommand, WorkersCommand } from "./process_commands.ts";
 
 /**
- * Runs the command line.
+ * Runs the command that the arguments select.
  *
- * @param args The arguments after the program.
+ * @param args The arguments after the program's name.
  * @returns The exit code.
  */
 export async function runCli(args: readonly string[]): Promise<number> {
--- a/cli/operator_commands.ts
+++ b/cli/operator_commands.ts
@@ -1,5 +1,5 @@
 /**
- * Operators' commands against a running entry instance, and offline checks.
+ * Commands for operators: calls to a running entry instance, offline checks and log analysis.
  *
  * @example
  * ```sh
@@ -33,7 +33,7 @@
         description: "host:port of an entry instance",
     });
 
-    /** Calls the entry instance and prints the result as JSON. */
+    /** Calls a method of the entry instance and prints the result as JSON. */
     async sendCall(method: string, params: object): Promise<number> {
         const result = await createRpcClient(this.entry).call(method, params);
         this.context.stdout.write(`${JSON.stringify(result, null, 2)}\n`);
@@ -41,7 +41,7 @@
     }
 }
 
-/** `poplarhead check`: checks an inventory and rules file, reporting every bad line. */
+/** `poplarhead check`: validates settings files and prints every finding. */
 export class CheckCommand extends Command {
     static override paths = [["check"]];
     static override usage = Command.Usage({
@@ -51,7 +51,7 @@
     rules = Option.String("--rules", { required: true });
     deployment = Option.String("--deployment");
 
-    /** @returns 0 when every file is good, 1 with findings. */
+    /** @returns 0 if all files are valid, 1 if there are findings. */
     async execute(): Promise<number> {
         try {
             const { inventory, rules, deployment } = loadSettingsFiles(
@@ -76,7 +76,7 @@
     }
 }
 
-/** `poplarhead submit`. */
+/** `poplarhead submit`: submits a request. */
 export class SubmitCommand extends EntryClientCommand {
     static override paths = [["submit"]];
     static override usage = Command.Usage({
@@ -110,7 +110,7 @@
     }
 }
 
-/** `poplarhead fate`. */
+/** `poplarhead fate`: prints a request's state and events. */
 export class FateCommand extends EntryClientCommand {
     static override paths = [["fate"]];
     static override usage = Command.Usage({
@@ -128,7 +128,7 @@
     }
 }
 
-/** `poplarhead cancel`. */
+/** `poplarhead cancel`: cancels a request. */
 export class CancelCommand extends EntryClientCommand {
     static override paths = [["cancel"]];
     static override usage = Command.Usage({ description: "Cancel a request." });
@@ -140,7 +140,7 @@
     }
 }
 
-/** `poplarhead drain`. */
+/** `poplarhead drain`: starts or ends the drain of an instance. */
 export class DrainCommand extends EntryClientCommand {
     static override paths = [["drain"]];
     static override usage = Command.Usage({
@@ -156,7 +156,7 @@
     }
 }
 
-/** `poplarhead rules set`. */
+/** `poplarhead rules set`: replaces the rules. */
 export class RulesSetCommand extends EntryClientCommand {
     static override paths = [["rules", "set"]];
     static override usage = Command.Usage({
@@ -180,7 +180,7 @@
     }
 }
 
-/** `poplarhead status`. */
+/** `poplarhead status`: prints the cell's status. */
 export class StatusCommand extends EntryClientCommand {
     static override paths = [["status"]];
     static override usage = Command.Usage({
@@ -193,7 +193,7 @@
     }
 }
 
-/** `poplarhead logs merge`. */
+/** `poplarhead logs merge`: merges the logs of several processes by time. */
 export class LogsMergeCommand extends Command {
     static override paths = [["logs", "merge"]];
     static override usage = Command.Usage({
@@ -218,7 +218,7 @@
     }
 }
 
-/** `poplarhead logs explain`. */
+/** `poplarhead logs explain`: prints a request's events and why it was delayed or failed. */
 export class LogsExplainCommand extends Command {
     static override paths = [["logs", "explain"]];
     static override usage = Command.Usage({
@@ -227,7 +227,7 @@
     request = Option.String("--request", { required: true });
     files = Option.Rest({ required: 1 });
 
-    /** @returns The exit code: 0 when something was logged about the request. */
+    /** @returns 0 if the logs mention the request, 1 otherwise. */
     async execute(): Promise<number> {
         const texts = this.files.map((file) => readFileSync(file, "utf8"));
         const { events, causes } = explainRequest(mergeTimeline(texts), this.request);
@@ -238,7 +238,7 @@
     }
 }
 
-/** `poplarhead logs causes`. */
+/** `poplarhead logs causes`: tabulates the causes of delays. */
 export class LogsCausesCommand extends Command {
     static override paths = [["logs", "causes"]];
     static override usage = Command.Usage({
@@ -257,7 +257,7 @@
     }
 }
 
-/** `poplarhead logs stages`. */
+/** `poplarhead logs stages`: tabulates the waiting time of jobs per stage. */
 export class LogsStagesCommand extends Command {
     static override paths = [["logs", "stages"]];
     static override usage = Command.Usage({
--- a/cli/process_commands.ts
+++ b/cli/process_commands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands that run a process of the cell: an entry instance, a host of stand-in workers.
+ * Commands that run one process of a cell: an entry instance or a host of stand-in workers.
  *
  * @example
  * ```sh
@@ -82,7 +82,7 @@
     }
 }
 
-/** `poplarhead workers`: runs stand-in workers for the instances of one zone (or all). */
+/** `poplarhead workers`: runs stand-in workers for the instances of one zone or of all. */
 export class WorkersCommand extends Command {
     static override paths = [["workers"]];
     static override usage = Command.Usage({
@@ -134,7 +134,7 @@
 /**
  * Waits for SIGTERM or SIGINT.
  *
- * @returns When one arrives.
+ * @returns A promise that resolves when either signal arrives.
  */
 export function waitForShutdownSignal(): Promise<void> {
     return new Promise((resolve) => {
--- a/cli/settings_files.ts
+++ b/cli/settings_files.ts
@@ -1,5 +1,6 @@
 /**
- * Reading the operators' files for the command line, with findings printed together.
+ * Loads the settings files given on the command line and reports the findings of all files
+ * together.
  *
  * @example
  * ```ts
@@ -19,7 +20,7 @@
 import { loadInventoryText } from "../settings/inventory_file.ts";
 import { loadRulesText } from "../rules/rules_file.ts";
 
-/** The operators' files, checked. */
+/** Validated contents of the settings files. */
 export interface SettingsFiles {
     readonly inventory: Inventory;
     readonly rules: Rules;
@@ -27,13 +28,13 @@
 }
 
 /**
- * Loads an inventory, a rules and a deployment file; findings of all are reported together.
+ * Loads and validates the inventory, the rules and, if given, the deployment.
  *
- * @param inventoryFile The inventory's path.
- * @param rulesFile The rules' path.
- * @param deploymentFile The deployment's path, if there is one.
- * @returns All, checked.
- * @throws {FindingsError} With every finding of every file.
+ * @param inventoryFile Path of the inventory file.
+ * @param rulesFile Path of the rules file.
+ * @param deploymentFile Path of the deployment file.
+ * @returns The validated contents.
+ * @throws {FindingsError} If any file is invalid; carries the findings of all files.
  */
 export function loadSettingsFiles(
     inventoryFile: string,
@@ -62,7 +63,7 @@
     return { inventory, rules, deployment };
 }
 
-/** Zones that the deployment names must be in the inventory. */
+/** Reports the deployment's zones that are not in the inventory. */
 function checkZones(deployment: Deployment, inventory: Inventory, file: string): Finding[] {
     const zoneReferences = [
         ...deployment.members.map((m) => [m.zone, `members ${m.id}`] as const),
--- a/examples/build_examples.ts
+++ b/examples/build_examples.ts
@@ -1,8 +1,6 @@
 /**
- * Writes the two example deployments of the brief (Umhlanga's studio-intake floor, Caruaru's
- * cerimonia service) as asset-register inventories: 3 zones, 30 workers of 16 cores and 32 GB,
- * 8 to a rack, one executor of 8 slots and 60 connections on each. Run with
- * `npx tsx examples/build_examples.ts`; the output is committed.
+ * Writes the inventories of the two example deployments, each with 3 zones and 30 workers. The
+ * output is committed.
  *
  * @example
  * ```sh
@@ -39,11 +37,11 @@
 const WORKERS_PER_RACK = 8;
 
 /**
- * Builds an inventory file's data for a deployment.
+ * Builds the inventory of a deployment, with one executor on each worker.
  *
- * @param deployment The deployment.
- * @param workers How many workers (instances).
- * @returns The inventory as plain data.
+ * @param deployment The deployment to build for.
+ * @param workers Number of workers (instances).
+ * @returns The inventory as plain data, in the layout of the inventory file.
  */
 export function buildInventory(deployment: Deployment, workers = deployment.workers): object {
     const racks: { id: string; zone: string; instances: object[] }[] = [];
@@ -78,7 +76,7 @@
     };
 }
 
-/** Writes both deployments under examples/. */
+/** Writes each deployment's inventory to `examples/<cell>/inventory.yaml`. */
 export function writeExamples(): void {
     for (const deployment of DEPLOYMENTS) {
         const url = new URL(`./${deployment.cell}/inventory.yaml`, import.meta.url);
--- a/tools/build_daemons.ts
+++ b/tools/build_daemons.ts
@@ -1,6 +1,6 @@
 /**
- * Builds the daemons for deployment into `target/`: one bundle, its state charts, a starter, and for each
- * role the code that the engine compiled while the role ran for a moment.
+ * Builds the daemons for deployment into `target/`: the bundle, its state charts, a start script,
+ * and a V8 code cache for each role, recorded during a short run.
  *
  * @example
  * ```sh
@@ -24,11 +24,11 @@
 import { parseYaml } from "../settings/parse_yaml.ts";
 import { runWarmUp, type DaemonRole } from "../platform/warm_up.ts";
 
-/** Where everything goes that is built. */
+/** Directory for the build's output. */
 const OUTPUT_DIR = process.argv[2] ?? "target";
 const DEPLOY_FILE = "deploy/system.toml";
 const STATE_CHARTS = ["log/role_chart.yaml", "job/job_chart.yaml"];
-/** Ends the names of the files in which daemons keep their compiled code. */
+/** Suffix of the code cache files that the daemons write. */
 const CACHE_SUFFIX = ".code_cache";
 
 const SHARED_OPTIONS: BuildOptions = {
@@ -36,13 +36,13 @@
     platform: "node",
     target: "node20",
     format: "cjs",
-    // Names stay, so that stack traces in logs can be read.
+    // Identifiers are not minified, so that stack traces stay readable.
     minifyWhitespace: true,
     legalComments: "none",
     define: { "import.meta.url": "moduleUrl" },
 };
 
-/** Bundles the daemon and its starter. */
+/** Bundles the daemon and its start script. */
 async function buildBundles(): Promise<void> {
     await build({
         ...SHARED_OPTIONS,
@@ -62,7 +62,7 @@
     });
 }
 
-/** Writes the charts as JSON, which is YAML too and is parsed in a fraction of the time. */
+/** Writes the state charts as JSON, which is valid YAML and parses faster. */
 function writeStateCharts(): void {
     for (const chart of STATE_CHARTS) {
         const value = parseYaml(readFileSync(chart, "utf8"));
@@ -70,7 +70,7 @@
     }
 }
 
-/** The flags of the engine that a role is deployed with: compiled code is of use only under the same. */
+/** Returns a role's Node.js flags in the deploy file; a code cache is valid only under them. */
 function listNodeFlags(role: DaemonRole): string[] {
     const runCommand = new RegExp(
         `^run = "node (.*) target/poplarhead_start.cjs ${role}"`,
@@ -82,7 +82,7 @@
     return runCommand[1].split(" ");
 }
 
-/** Keeps the compiled code of the daemon of each role that did most. */
+/** Keeps the largest code cache of each role and removes the others. */
 function selectCodeCaches(): void {
     for (const role of ["front", "control"]) {
         const caches = readdirSync(OUTPUT_DIR)
--- a/tools/build_daemons_test.ts
+++ b/tools/build_daemons_test.ts
@@ -4,11 +4,11 @@
 import { join, resolve } from "node:path";
 import test from "ava";
 
-/** Flags of the engine in the deploy file that bear on a front's compiled code. */
+/** Node.js flags from the deploy file that affect the front's code cache. */
 const FRONT_NODE_FLAGS = ["--max-old-space-size=160"];
 const HOST = "127.0.0.21";
 const PORT = 27_900;
-/** Prints whether the engine takes the compiled code that was kept. */
+/** Prints whether V8 rejects the code cache. */
 const CHECK_SCRIPT = `
 const { readFileSync } = require("node:fs");
 const { Script } = require("node:vm");
@@ -20,8 +20,7 @@
 test.serial(
     "the build gives daemons that start, with compiled code that the engine takes",
     async (t) => {
-        // After a loss of power nobody is served before the daemons listen. Compiled code that the engine refuses
-        // costs nothing but that time, so no other test would notice.
+        // A rejected code cache only slows down the start, which no other test detects.
         const dir = mkdtempSync(join(tmpdir(), "poplarhead-target-"));
         t.teardown(() => rmSync(dir, { recursive: true }));
         const built = spawnSync(process.execPath, ["--import=tsx", "tools/build_daemons.ts", dir], {
@@ -53,8 +52,7 @@
 );
 
 test.serial("two builds at once both keep compiled code", async (t) => {
-    // Each build runs the daemons for a moment. On the same ports the second one's would not get up; its daemons
-    // then start a tenth of a second later each time, and nothing else tells.
+    // Daemons of two builds on the same ports would leave the second build without a code cache.
     const dirs = [1, 2].map(() => mkdtempSync(join(tmpdir(), "poplarhead-target-")));
     t.teardown(() => dirs.forEach((dir) => rmSync(dir, { recursive: true })));
     const statuses = await Promise.all(dirs.map((dir) => runBuild(dir)));
@@ -65,7 +63,7 @@
     }
 });
 
-/** @returns The build's exit status. */
+/** Runs the build and returns its exit status. */
 function runBuild(dir: string): Promise<number | null> {
     const child = spawn(process.execPath, ["--import=tsx", "tools/build_daemons.ts", dir], {
         stdio: "ignore",
@@ -73,7 +71,7 @@
     return new Promise((resolve) => child.once("exit", (code) => resolve(code)));
 }
 
-/** Starts the built front and tells whether it listens and ends as told. */
+/** Returns whether the built front starts, and exits with code 0 on SIGTERM. */
 async function checkFrontStarts(dir: string): Promise<boolean> {
     const settings = join(dir, "boot.yaml");
     writeFileSync(
--- a/tools/run_tests.ts
+++ b/tools/run_tests.ts
@@ -1,6 +1,6 @@
 /**
- * Runs all tests, passes over those that `KNOWN-RED.txt` lists, and closes with one plain line of
- * counts. A listed test that passes again is reported, so that its line is taken out.
+ * Runs all tests and prints the counts of passed and failed ones. Failures that `KNOWN-RED.txt`
+ * lists do not fail the run; a listed test that passes is reported.
  *
  * @example
  * ```sh
--- a/tools/seeded_random.ts
+++ b/tools/seeded_random.ts
@@ -1,5 +1,5 @@
 /**
- * A repeatable source of random numbers for tests, the soak and planned days.
+ * Generates repeatable random numbers for tests and simulations.
  *
  * @example
  * ```ts
@@ -12,10 +12,10 @@
  */
 
 /**
- * Creates a seeded source of numbers in [0, 1).
+ * Creates a linear congruential generator of numbers in [0, 1).
  *
- * @param seed The seed.
- * @returns The source (a linear congruential generator: repeatability is wanted, not quality).
+ * @param seed The seed; the same seed gives the same sequence.
+ * @returns A function that returns the next number.
  */
 export function createRandom(seed: number): () => number {
     let state = seed >>> 0;
--- a/tools/test_results.ts
+++ b/tools/test_results.ts
@@ -1,5 +1,5 @@
 /**
- * Reads test results from TAP lines and weighs them against the list of known failures.
+ * Parses test results from TAP output and checks them against the list of known failures.
  *
  * @example
  * ```ts
@@ -10,21 +10,21 @@
  * @module
  */
 
-/** One test's outcome. */
+/** Outcome of one test. */
 export interface TestResult {
     readonly title: string;
     readonly isPassed: boolean;
 }
 
-/** One line of the list of known failures. */
+/** Entry in the list of known failures. */
 export interface KnownFailure {
-    /** The test's whole title. */
+    /** Full title of the test. */
     readonly title: string;
-    /** The whole line, for printing. */
+    /** The entry's line as written, for printing. */
     readonly line: string;
 }
 
-/** The outcome of a whole run. */
+/** Outcome of a test run. */
 export interface RunResult {
     readonly passed: number;
     readonly failed: number;
@@ -33,10 +33,10 @@
 }
 
 /**
- * Parses a TAP line.
+ * Parses a line of TAP output.
  *
  * @param line The line.
- * @returns The result, or `undefined` for any other line and for a file-level entry.
+ * @returns The test's result, or `undefined` for any other line.
  */
 export function parseTapLine(line: string): TestResult | undefined {
     const match = /^(not )?ok \d+ - (.*)$/.exec(line);
@@ -48,8 +48,8 @@
 }
 
 /**
- * Parses the list of known failures: the test's title, then ` | ` and what is known of it. Lines
- * that begin with `#` and empty ones are passed over.
+ * Parses the list of known failures. Each line has a test's title, ` | ` and a description; empty
+ * lines and lines that begin with `#` are skipped.
  *
  * @param text The file's text.
  * @returns The entries.
@@ -63,13 +63,13 @@
 }
 
 /**
- * Weighs results against the list.
+ * Checks test results against the list of known failures.
  *
- * @param results Every test's outcome.
+ * @param results The outcome of each test.
  * @param knownFailures The known failures.
  * @param exitCode The test runner's exit code.
- * @returns Counts, what to print, and whether the run is good. A failure that is not listed, a run
- * without tests, and a runner that failed without a failing test are not.
+ * @returns The outcome of the run. It is not successful if an unlisted test failed, if no test ran,
+ * or if the runner failed without a failing test.
  */
 export function checkResults(
     results: readonly TestResult[],
