--- a/bench/cluster_bench.ts
+++ b/bench/cluster_bench.ts
@@ -90,7 +90,7 @@
         const leader = (await cluster.findLeader(group)) as string;
         const startedAt = performance.now();
         cluster.sendSignal(leader, signal);
-        await waitUntil("another leads", async () => {
+        await waitUntil("another instance leads", async () => {
             return (await cluster.findLeader(group, leader)) !== undefined;
         });
         timesMs.push(Math.round(performance.now() - startedAt));
@@ -101,7 +101,7 @@
             await cluster.startEntry(leader);
         }
         await cluster.waitLeaders();
-        await waitUntil("all follow", async () => {
+        await waitUntil("all instances are ready", async () => {
             const statuses = await cluster.listStatuses();
             return statuses.every((s) => s.ready);
         });
@@ -124,7 +124,7 @@
     const startedAt = performance.now();
     await cluster.startEntry(laggingId);
     const listeningMs = Math.round(performance.now() - startedAt);
-    await waitUntil("it has everything", async () => {
+    await waitUntil("the lagging instance has caught up", async () => {
         const statuses = await cluster.listStatuses();
         const applied = statuses.flatMap(
             (s) => s.groups.find((g) => g.id === "z1")?.appliedIndex ?? [],
--- a/bench/dispatch_bench.ts
+++ b/bench/dispatch_bench.ts
@@ -169,6 +169,6 @@
 }
 const cpuMs = (cpuUsed.user + cpuUsed.system) / 1_000;
 process.stdout.write(
-    `${cluster.runs.length} starts, ${cpuMs.toFixed(0)} ms of processor, ` +
-        `${(cpuMs / cluster.runs.length).toFixed(3)} ms a start, worst 50 ms took ${worstStepMs.toFixed(0)} ms\n`,
+    `${cluster.runs.length} task starts, ${cpuMs.toFixed(0)} ms of CPU time, ` +
+        `${(cpuMs / cluster.runs.length).toFixed(3)} ms per start, longest 50 ms step took ${worstStepMs.toFixed(0)} ms\n`,
 );
--- a/bench/idle_probe.ts
+++ b/bench/idle_probe.ts
@@ -43,7 +43,7 @@
 const cpuSecondsAfter = [...cell.pids.values()].map((p) => readProcessStats(p).cpuSeconds);
 console.log(
     workers,
-    "workers idle, share of a core per process over 10 s:",
+    "idle workers, CPU use of each process over 10 s in % of a core:",
     cpuSecondsAfter
         .map((seconds, i) => (((seconds - (cpuSecondsBefore[i] ?? 0)) / 10) * 100).toFixed(1) + "%")
         .join(" "),
--- a/bench/wide_jobs_bench.ts
+++ b/bench/wide_jobs_bench.ts
@@ -60,7 +60,7 @@
     simulation.run(Number(values.seconds), Number(values.load));
     const cpuUsed = process.cpuUsage(startedAt);
     const cpuSeconds = ((cpuUsed.user + cpuUsed.system) / 1e6).toFixed(1);
-    process.stdout.write(`seed ${seed}, ${cpuSeconds} s of processor\n`);
+    process.stdout.write(`seed ${seed}, ${cpuSeconds} s of CPU time\n`);
     simulation
         .listSummaries()
         .forEach((summary) => process.stdout.write(`${formatRow(summary)}\n`));
--- a/cli/demo_command.ts
+++ b/cli/demo_command.ts
@@ -31,7 +31,7 @@
     static override paths = [["demo"]];
     static override usage = Command.Usage({
         description:
-            "Run both example deployments on a local cell with stand-in workers and print every request's end.",
+            "Run both example deployments on a local cell with stand-in workers and print a summary.",
     });
     requests = Option.String("--requests", "200");
     dir = Option.String("--dir");
@@ -66,7 +66,9 @@
             this.context.stdout.write(`  logs: ${cell.logFiles.join(" ")}\n`);
         }
         this.context.stdout.write(
-            allFinal ? "every request reached an end state\n" : "SOME REQUESTS DID NOT END\n",
+            allFinal
+                ? "every request reached an end state\n"
+                : "some requests did not reach an end state\n",
         );
         return allFinal ? 0 : 1;
     }
--- a/cli/load_command.ts
+++ b/cli/load_command.ts
@@ -23,13 +23,13 @@
     static override paths = [["load"]];
     static override usage = Command.Usage({
         description:
-            "Drive a local cell with an experiment file; report waiting time, packing and control cost.",
+            "Run a load experiment on a local cell; report waiting time, packing and control cost.",
     });
     experiment = Option.String("--experiment", { required: true });
     workers = Option.String("--workers", { description: "override the file's worker count" });
     rate = Option.String("--rate", { description: "override the file's requests per second" });
     instances = Option.String("--instances", {
-        description: "override the file's entry instances",
+        description: "override the file's number of entry instances",
     });
     out = Option.String("--out");
 
--- a/cli/operator_commands.ts
+++ b/cli/operator_commands.ts
@@ -45,7 +45,7 @@
 export class CheckCommand extends Command {
     static override paths = [["check"]];
     static override usage = Command.Usage({
-        description: "Check an inventory and a rules file; every bad line is reported.",
+        description: "Validate the inventory, rules and deployment files and print every finding.",
     });
     inventory = Option.String("--inventory", { required: true });
     rules = Option.String("--rules", { required: true });
@@ -80,7 +80,7 @@
 export class SubmitCommand extends EntryClientCommand {
     static override paths = [["submit"]];
     static override usage = Command.Usage({
-        description: "Submit a request; resending with the same key returns the same request.",
+        description: "Submit a request. Idempotent: the same key returns the same request.",
     });
     caller = Option.String("--caller", "operator");
     key = Option.String("--key", { required: true });
@@ -114,7 +114,7 @@
 export class FateCommand extends EntryClientCommand {
     static override paths = [["fate"]];
     static override usage = Command.Usage({
-        description: "Tell a request's end state and its time line of events.",
+        description: "Print a request's state and its timeline of events.",
     });
     requestId = Option.String();
     waitMs = Option.String("--wait-ms", "0");
@@ -161,7 +161,7 @@
     static override paths = [["rules", "set"]];
     static override usage = Command.Usage({
         description:
-            "Replace the rules; names the version it replaces, and a change id that makes a resend safe.",
+            "Replace the rules if their version is the expected one; the change id makes retries idempotent.",
     });
     file = Option.String("--file", { required: true });
     expectedVersion = Option.String("--expected-version", { required: true });
@@ -184,7 +184,7 @@
 export class StatusCommand extends EntryClientCommand {
     static override paths = [["status"]];
     static override usage = Command.Usage({
-        description: "Requests per state, workers alive, packing.",
+        description: "Print the requests per state, the live workers and the packing.",
     });
 
     /** @returns The exit code. */
@@ -197,11 +197,11 @@
 export class LogsMergeCommand extends Command {
     static override paths = [["logs", "merge"]];
     static override usage = Command.Usage({
-        description: "Merge the JSON logs of every process into one time line.",
+        description: "Merge the JSON logs of several processes into one timeline.",
     });
     request = Option.String("--request");
-    since = Option.String("--since", { description: "ISO time or ms since 1970" });
-    until = Option.String("--until", { description: "ISO time or ms since 1970" });
+    since = Option.String("--since", { description: "ISO 8601 time or Unix time in ms" });
+    until = Option.String("--until", { description: "ISO 8601 time or Unix time in ms" });
     files = Option.Rest({ required: 1 });
 
     /** @returns The exit code. */
@@ -222,7 +222,8 @@
 export class LogsExplainCommand extends Command {
     static override paths = [["logs", "explain"]];
     static override usage = Command.Usage({
-        description: "Explain one request from the JSON logs of every process.",
+        description:
+            "Print a request's events and the causes of its delay or failure, from the JSON logs.",
     });
     request = Option.String("--request", { required: true });
     files = Option.Rest({ required: 1 });
@@ -232,7 +233,9 @@
         const texts = this.files.map((file) => readFileSync(file, "utf8"));
         const { events, causes } = explainRequest(mergeTimeline(texts), this.request);
         events.forEach((event) => this.context.stdout.write(`${formatEvent(event)}\n`));
-        this.context.stdout.write(causes.length === 0 ? "nothing unusual\n" : "causes:\n");
+        this.context.stdout.write(
+            causes.length === 0 ? "no causes of delay or failure found\n" : "causes:\n",
+        );
         causes.forEach((cause) => this.context.stdout.write(`- ${cause}\n`));
         return events.length === 0 ? 1 : 0;
     }
@@ -242,9 +245,10 @@
 export class LogsCausesCommand extends Command {
     static override paths = [["logs", "causes"]];
     static override usage = Command.Usage({
-        description: "Tabulate what delayed requests, from the JSON logs of every process.",
+        description:
+            "Tabulate the causes of delays and failures per time span, from the JSON logs.",
     });
-    span = Option.String("--span", "2", { description: "length of a span, in s" });
+    span = Option.String("--span", "2", { description: "length of a time span in seconds" });
     files = Option.Rest({ required: 1 });
 
     /** @returns The exit code. */
@@ -261,10 +265,11 @@
 export class LogsStagesCommand extends Command {
     static override paths = [["logs", "stages"]];
     static override usage = Command.Usage({
-        description: "Tabulate which stages the jobs of each queue waited in, from the JSON logs.",
+        description:
+            "Tabulate the waiting time of each queue's jobs per stage, from the JSON logs.",
     });
     span = Option.String("--span", {
-        description: "length of a span, in s; all in one by default",
+        description: "length of a time span in seconds; by default, one span covers all",
     });
     files = Option.Rest({ required: 1 });
 
@@ -281,7 +286,7 @@
 function parseSpanMs(text: string): number {
     const spanMs = Number(text) * 1_000;
     if (!(spanMs > 0)) {
-        throw new UsageError(`not a length of time: ${text}`);
+        throw new UsageError(`--span must be a positive number of seconds: ${text}`);
     }
     return spanMs;
 }
@@ -292,7 +297,7 @@
     }
     const ms = /^\d+$/.test(text) ? Number(text) : Date.parse(text);
     if (Number.isNaN(ms)) {
-        throw new UsageError(`not a time: ${text}`);
+        throw new UsageError(`not an ISO 8601 time or Unix time in ms: ${text}`);
     }
     return ms;
 }
--- a/cli/process_commands.ts
+++ b/cli/process_commands.ts
@@ -31,10 +31,10 @@
     id = Option.String("--id", "entry-1");
     dataDir = Option.String("--data-dir");
     deployment = Option.String("--deployment", {
-        description: "the deployment file; without it this instance is the whole cell",
+        description: "the deployment file; without it, the cell consists of this instance alone",
     });
     bootstrap = Option.Boolean("--bootstrap", false, {
-        description: "the whole cell starts for the first time, with empty disks",
+        description: "initialize a new cell; all of its disks are empty",
     });
     snapshotEvery = Option.String("--snapshot-every", {
         description: "log entries between two snapshots",
@@ -50,10 +50,14 @@
         );
         const member = deployment?.members.find((m) => m.id === this.id);
         if (deployment !== undefined && member === undefined) {
-            throw new UsageError(`--id ${this.id} is not a member in ${this.deployment}`);
+            throw new UsageError(
+                `--id ${this.id} is not listed under members in ${this.deployment}`,
+            );
         }
         if (member?.hasDisk === true && this.dataDir === undefined) {
-            throw new UsageError(`${this.id} has a disk in ${this.deployment}: give --data-dir`);
+            throw new UsageError(
+                `${this.id} has a disk in ${this.deployment}: --data-dir is required`,
+            );
         }
         const logger = createLogger({
             process: this.id,
@@ -96,7 +100,7 @@
     rules = Option.String("--rules", { required: true });
     zone = Option.String("--zone");
     failing = Option.String("--failing", "", {
-        description: "comma-separated instances that fail everything",
+        description: "comma-separated instances on which every task fails",
     });
     id = Option.String("--id", "workers-1");
     log = Option.String("--log");
--- a/tools/build_daemons.ts
+++ b/tools/build_daemons.ts
@@ -77,7 +77,7 @@
         "m",
     ).exec(readFileSync(DEPLOY_FILE, "utf8"));
     if (runCommand?.[1] === undefined) {
-        throw new Error(`${DEPLOY_FILE} does not say how ${role} is run`);
+        throw new Error(`${DEPLOY_FILE} has no run command for role ${role}`);
     }
     return runCommand[1].split(" ");
 }
--- a/tools/build_daemons_test.ts
+++ b/tools/build_daemons_test.ts
@@ -17,41 +17,38 @@
 console.log(script.cachedDataRejected);
 `;
 
-test.serial(
-    "the build gives daemons that start, with compiled code that the engine takes",
-    async (t) => {
-        // A rejected code cache only slows down the start, which no other test detects.
-        const dir = mkdtempSync(join(tmpdir(), "poplarhead-target-"));
-        t.teardown(() => rmSync(dir, { recursive: true }));
-        const built = spawnSync(process.execPath, ["--import=tsx", "tools/build_daemons.ts", dir], {
-            encoding: "utf8",
-        });
-        t.is(built.status, 0, built.stderr);
-        t.deepEqual(readdirSync(dir).sort(), [
-            "code_cache_control.bin",
-            "code_cache_front.bin",
-            "daemon_bundle.js",
-            "job_chart.yaml",
-            "poplarhead_start.cjs",
-            "role_chart.yaml",
-        ]);
-        const check = spawnSync(
-            process.execPath,
-            [
-                ...FRONT_NODE_FLAGS,
-                "-e",
-                CHECK_SCRIPT,
-                join(dir, "daemon_bundle.js"),
-                join(dir, "code_cache_front.bin"),
-            ],
-            { encoding: "utf8" },
-        );
-        t.is(check.stdout.trim(), "false", check.stderr);
-        t.true(await checkFrontStarts(dir));
-    },
-);
+test.serial("builds daemons that start, with a code cache that V8 accepts", async (t) => {
+    // A rejected code cache only slows down the start, which no other test detects.
+    const dir = mkdtempSync(join(tmpdir(), "poplarhead-target-"));
+    t.teardown(() => rmSync(dir, { recursive: true }));
+    const built = spawnSync(process.execPath, ["--import=tsx", "tools/build_daemons.ts", dir], {
+        encoding: "utf8",
+    });
+    t.is(built.status, 0, built.stderr);
+    t.deepEqual(readdirSync(dir).sort(), [
+        "code_cache_control.bin",
+        "code_cache_front.bin",
+        "daemon_bundle.js",
+        "job_chart.yaml",
+        "poplarhead_start.cjs",
+        "role_chart.yaml",
+    ]);
+    const check = spawnSync(
+        process.execPath,
+        [
+            ...FRONT_NODE_FLAGS,
+            "-e",
+            CHECK_SCRIPT,
+            join(dir, "daemon_bundle.js"),
+            join(dir, "code_cache_front.bin"),
+        ],
+        { encoding: "utf8" },
+    );
+    t.is(check.stdout.trim(), "false", check.stderr);
+    t.true(await checkFrontStarts(dir));
+});
 
-test.serial("two builds at once both keep compiled code", async (t) => {
+test.serial("concurrent builds each write their code caches", async (t) => {
     // Daemons of two builds on the same ports would leave the second build without a code cache.
     const dirs = [1, 2].map(() => mkdtempSync(join(tmpdir(), "poplarhead-target-")));
     t.teardown(() => dirs.forEach((dir) => rmSync(dir, { recursive: true })));
--- a/tools/test_results.ts
+++ b/tools/test_results.ts
@@ -81,10 +81,10 @@
     for (const known of knownFailures) {
         const result = results.find((r) => r.title === known.title);
         if (result === undefined) {
-            notes.push(`known red, but did not run: ${known.line}`);
+            notes.push(`known failure, did not run: ${known.line}`);
         } else {
-            const state = result.isPassed ? "passes again, take its line out" : "still red";
-            notes.push(`known red, ${state}: ${known.line}`);
+            const state = result.isPassed ? "passes again, remove its entry" : "still fails";
+            notes.push(`known failure, ${state}: ${known.line}`);
         }
     }
     const listed = new Set(knownFailures.map((known) => known.title));
@@ -92,7 +92,7 @@
     unlisted.forEach((failure) => notes.push(`failed: ${failure.title}`));
     const hasRunnerFailed = exitCode !== 0 && failures.length === 0;
     if (hasRunnerFailed) {
-        notes.push(`the test runner ended with code ${exitCode}`);
+        notes.push(`the test runner exited with code ${exitCode}`);
     }
     return {
         passed: results.length - failures.length,
--- a/tools/test_results_test.ts
+++ b/tools/test_results_test.ts
@@ -1,13 +1,13 @@
 import test from "ava";
 import { checkResults, parseKnownFailures, parseTapLine } from "./test_results.ts";
 
-test("TAP lines give titles and outcomes", (t) => {
+test("parses titles and outcomes from TAP lines", (t) => {
     t.deepEqual(parseTapLine("ok 1 - log › one"), { title: "log › one", isPassed: true });
     t.deepEqual(parseTapLine("not ok 2 - two # TODO"), { title: "two", isPassed: false });
     t.is(parseTapLine("# comment"), undefined);
 });
 
-test("a listed failure passes, an unlisted one and a run without tests do not", (t) => {
+test("a run succeeds with listed failures, but not with unlisted ones, without tests or if the runner fails", (t) => {
     const known = parseKnownFailures("# note\n\ntwo | npx ava x, seed 3: seen twice | issue 9\n");
     const red = { title: "two", isPassed: false };
     t.true(checkResults([red, { title: "one", isPassed: true }], known, 1).isSuccessful);
