--- a/cell/_cell_state.ts
+++ b/cell/_cell_state.ts
@@ -25,7 +25,7 @@
 import {
     getKindClass,
     getKindRule,
-    RulesBook,
+    RulesStore,
     type KindRule,
     type PrecedenceClass,
     type Rules,
@@ -109,7 +109,7 @@
 export class CellState {
     readonly options: ResolvedOptions;
     readonly inventory: Inventory;
-    readonly rulesStore: RulesBook;
+    readonly rulesStore: RulesStore;
     /** Kinds that a rules change removed while requests of that kind were unfinished. */
     readonly retiredKinds = new Map<string, KindPolicy>();
     readonly workers = new Map<InstanceId, WorkerState>();
@@ -148,7 +148,7 @@
     constructor(options: CellOptions) {
         this.options = { ...DEFAULT_OPTIONS, ...removeUndefined(options) };
         this.inventory = options.inventory;
-        this.rulesStore = new RulesBook(options.rules);
+        this.rulesStore = new RulesStore(options.rules);
         for (const instance of options.inventory.instances) {
             const worker = createWorkerState(instance, options.inventory.executors);
             this.workers.set(instance.id, worker);
--- a/cell/_placer.ts
+++ b/cell/_placer.ts
@@ -13,10 +13,10 @@
 
 import { getKindRule, type KindRule } from "../rules/mod.ts";
 import {
-    isEverFeasible,
-    placeTask,
+    isFeasibleOnEmptyWorkers,
+    placeTasks,
     planPreemption,
-    type PlacementAsk,
+    type PlacementRequirements,
     type Victim,
     type WorkerState,
 } from "../scheduler/mod.ts";
@@ -112,7 +112,7 @@
                 return true;
             }
         }
-        const workers = placeTask(this.#state.workerList, requirements, nowMs);
+        const workers = placeTasks(this.#state.workerList, requirements, nowMs);
         if (workers !== undefined) {
             this.#lifecycle.grantLeases(request, workers, nowMs);
             return true;
@@ -126,7 +126,7 @@
 
     #startPreemption(
         request: RequestRecord,
-        requirements: PlacementAsk,
+        requirements: PlacementRequirements,
         precedence: number,
         nowMs: number,
     ): void {
@@ -218,7 +218,7 @@
         }
         const requirements = this.#createRequirements(undefined, rule, spec);
         const workerGroups = [this.#state.workerList, ...this.#state.options.otherZoneWorkers];
-        if (!workerGroups.some((workers) => isEverFeasible(workers, requirements))) {
+        if (!workerGroups.some((workers) => isFeasibleOnEmptyWorkers(workers, requirements))) {
             return `no instance of ${spec.service} could ever hold ${spec.count} x ${JSON.stringify(spec.demand)}`;
         }
         return undefined;
@@ -228,7 +228,7 @@
         request: RequestRecord | undefined,
         rule: KindRule,
         spec = request?.spec,
-    ): PlacementAsk {
+    ): PlacementRequirements {
         const resolvedSpec = spec as RequestSpec;
         return {
             demand: resolvedSpec.demand,
--- a/cell/_snapshot.ts
+++ b/cell/_snapshot.ts
@@ -13,7 +13,7 @@
  */
 
 import type { CustomerId, InstanceId, LeaseId, Resources, ServiceId } from "../inventory/mod.ts";
-import type { RulesBookState } from "../rules/mod.ts";
+import type { RulesStoreState } from "../rules/mod.ts";
 import type { WorkerState } from "../scheduler/mod.ts";
 import {
     createCallerKey,
@@ -40,7 +40,7 @@
 }
 
 interface CellSnapshot {
-    readonly rules: RulesBookState;
+    readonly rules: RulesStoreState;
     readonly retired: readonly (readonly [string, KindPolicy])[];
     readonly workers: readonly (readonly [InstanceId, WorkerSnapshot])[];
     readonly requests: readonly RequestRecord[];
--- a/cell/cell.ts
+++ b/cell/cell.ts
@@ -25,7 +25,7 @@
     type TaskId,
 } from "../inventory/mod.ts";
 import { type Rules, type RulesChange, type RulesChangeResult } from "../rules/mod.ts";
-import { getFree, isTakingWork, type WorkerState } from "../scheduler/mod.ts";
+import { getFreeResources, isSchedulable, type WorkerState } from "../scheduler/mod.ts";
 import type { RulesFile } from "../rules/rules_file.ts";
 import {
     CellState,
@@ -531,8 +531,8 @@
             return 0;
         }
         return this.#state.workerList
-            .filter((w) => isTakingWork(w, nowMs))
-            .reduce((sum, w) => sum + getFree(w).cores, 0);
+            .filter((w) => isSchedulable(w, nowMs))
+            .reduce((sum, w) => sum + getFreeResources(w).cores, 0);
     }
 
     /**
--- a/entry/config_group.ts
+++ b/entry/config_group.ts
@@ -12,7 +12,7 @@
  * @module
  */
 
-import { RulesBook, type Rules, type RulesChange, type RulesChangeResult } from "../rules/mod.ts";
+import { RulesStore, type Rules, type RulesChange, type RulesChangeResult } from "../rules/mod.ts";
 import { createRulesFile, type RulesFile } from "../rules/rules_file.ts";
 import { GroupMember, type GroupMemberOptions } from "../group/mod.ts";
 
@@ -33,14 +33,14 @@
 
 /** This instance's replica of the configuration group. */
 export class ConfigGroup {
-    readonly #book: RulesBook;
+    readonly #book: RulesStore;
     readonly member: GroupMember<ConfigCommand, RulesChangeResult>;
 
     /**
      * @param options Identity, network, initial rules; see {@link ConfigGroupOptions}.
      */
     constructor(options: ConfigGroupOptions) {
-        const book = new RulesBook(options.rules);
+        const book = new RulesStore(options.rules);
         this.#book = book;
         this.member = new GroupMember({
             ...options,
--- a/reference/differential_test.ts
+++ b/reference/differential_test.ts
@@ -13,7 +13,7 @@
 
 const KINDS = ["preview", "batch", "reel", "hero", "gang", "service", "unknown"] as const;
 
-const opArb = fc.oneof(
+const operationArbitrary = fc.oneof(
     fc.record({
         op: fc.constant("submit" as const),
         kind: fc.constantFrom(...KINDS),
@@ -39,17 +39,18 @@
     // leases, no at-most-once task starts twice, no request says "did not run" after a start, no
     // final request keeps a live lease. The worker side (starts) is kept by the test itself.
     fc.assert(
-        fc.property(fc.array(opArb, { minLength: 5, maxLength: 80 }), (ops) => {
+        fc.property(fc.array(operationArbitrary, { minLength: 5, maxLength: 80 }), (ops) => {
             const cell = buildCell({ workers: 3, leaseTtlMs: 100, leaseGraceMs: 50 });
             const started = new Set<LeaseId>();
-            const offered: Extract<Effect, { type: "grant" }>[] = [];
-            let now = 0;
+            const grants: Extract<Effect, { type: "grant" }>[] = [];
+            let nowMs = 0;
             for (const op of ops) {
-                now += 10;
-                const live = offered.filter((g) =>
+                nowMs += 10;
+                const liveGrants = grants.filter((g) =>
                     cell.listLiveLeases().some((l) => l.id === g.lease.lease),
                 );
-                const chosen = "pick" in op ? live[op.pick % Math.max(1, live.length)] : undefined;
+                const grant =
+                    "pick" in op ? liveGrants[op.pick % Math.max(1, liveGrants.length)] : undefined;
                 if (op.op === "submit") {
                     cell.submit(
                         buildSpec({
@@ -57,41 +58,41 @@
                             demand: { cores: op.cores, memoryMb: 1_024, accelerators: 0 },
                             count: op.kind === "gang" || op.kind === "service" ? op.count : 1,
                         }),
-                        now,
+                        nowMs,
                     );
                 } else if (op.op === "tick") {
-                    cell.tick(now);
+                    cell.tick(nowMs);
                 } else if (op.op === "silence") {
-                    now += 200;
-                    cell.tick(now);
+                    nowMs += 200;
+                    cell.tick(nowMs);
                 } else if (op.op === "cancel") {
                     const ids = cell.listRequestIds();
                     const id = ids[op.pick % Math.max(1, ids.length)];
                     if (id !== undefined) {
-                        cell.cancel(id, now);
+                        cell.cancel(id, nowMs);
                     }
-                } else if (chosen !== undefined) {
-                    const { lease, epoch } = chosen.lease;
+                } else if (grant !== undefined) {
+                    const { lease, epoch } = grant.lease;
                     if (op.op === "decline") {
                         if (!started.has(lease)) {
-                            cell.handleGrantReply(lease, false, "full", now);
+                            cell.handleGrantReply(lease, false, "full", nowMs);
                         }
                     } else if (op.op === "start") {
                         started.add(lease);
-                        cell.handleReport(lease, epoch, "started", "", now);
+                        cell.handleReport(lease, epoch, "started", "", nowMs);
                     } else if (started.has(lease)) {
                         cell.handleReport(
                             lease,
                             epoch,
                             op.op === "complete" ? "completed" : "failed",
                             "",
-                            now,
+                            nowMs,
                         );
                     }
                 }
                 for (const effect of cell.takeEffects()) {
                     if (effect.type === "grant") {
-                        offered.push(effect);
+                        grants.push(effect);
                     }
                 }
                 const violations = listInvariantViolations(cell, started);
--- a/reference/reference.ts
+++ b/reference/reference.ts
@@ -29,23 +29,23 @@
 
 /** A placement the reference made. */
 export interface ReferencePlacement {
-    readonly request: number;
-    readonly workers: readonly InstanceId[];
+    readonly requestIndex: number;
+    readonly instanceIds: readonly InstanceId[];
 }
 
 /** The naive scheduler. */
 export class ReferenceScheduler {
     readonly #instances: readonly Instance[];
     readonly #rules: Rules;
-    readonly #held = new Map<InstanceId, Resources>();
-    readonly #slots = new Map<InstanceId, number>();
-    readonly #executorSlots = new Map<string, number>();
+    readonly #heldResources = new Map<InstanceId, Resources>();
+    readonly #usedSlots = new Map<InstanceId, number>();
+    readonly #totalSlots = new Map<string, number>();
     readonly #queue: { index: number; spec: RequestSpec }[] = [];
     /** What it placed, in order. */
     readonly placements: ReferencePlacement[] = [];
     /** Requests it refused, by index. */
     readonly refused = new Set<number>();
-    #count = 0;
+    #nextIndex = 0;
 
     /**
      * @param inventory The inventory.
@@ -55,7 +55,7 @@
         this.#instances = inventory.instances;
         this.#rules = rules;
         for (const executor of inventory.executors) {
-            this.#executorSlots.set(`${executor.service}@${executor.instance}`, executor.slots);
+            this.#totalSlots.set(`${executor.service}@${executor.instance}`, executor.slots);
         }
     }
 
@@ -66,11 +66,11 @@
      * @returns Its index.
      */
     submit(spec: RequestSpec): number {
-        const index = this.#count++;
+        const index = this.#nextIndex++;
         const fitsSomewhere = this.#instances.some(
             (i) =>
                 isFitting(spec.demand, i.capacity) &&
-                this.#executorSlots.has(`${spec.service}@${i.id}`),
+                this.#totalSlots.has(`${spec.service}@${i.id}`),
         );
         if (!this.#rules.kinds.has(spec.kind) || !fitsSomewhere) {
             this.refused.add(index);
@@ -82,11 +82,11 @@
 
     /** Places what fits now, first fit, in arrival order; a gang all at once or not at all. */
     placeAll(): void {
-        for (const item of [...this.#queue]) {
-            const chosen = this.#placeFirstFit(item.spec);
-            if (chosen !== undefined) {
-                this.placements.push({ request: item.index, workers: chosen });
-                this.#queue.splice(this.#queue.indexOf(item), 1);
+        for (const queued of [...this.#queue]) {
+            const instanceIds = this.#placeFirstFit(queued.spec);
+            if (instanceIds !== undefined) {
+                this.placements.push({ requestIndex: queued.index, instanceIds });
+                this.#queue.splice(this.#queue.indexOf(queued), 1);
             }
         }
     }
@@ -98,32 +98,32 @@
      * @param spec Its request.
      */
     releaseTask(worker: InstanceId, spec: RequestSpec): void {
-        this.#held.set(
+        this.#heldResources.set(
             worker,
-            addResources(this.#held.get(worker) ?? NO_RESOURCES, {
+            addResources(this.#heldResources.get(worker) ?? NO_RESOURCES, {
                 cores: -spec.demand.cores,
                 memoryMb: -spec.demand.memoryMb,
                 accelerators: -spec.demand.accelerators,
             }),
         );
-        this.#slots.set(
+        this.#usedSlots.set(
             `${spec.service}@${worker}` as InstanceId,
-            (this.#slots.get(`${spec.service}@${worker}` as InstanceId) ?? 1) - 1,
+            (this.#usedSlots.get(`${spec.service}@${worker}` as InstanceId) ?? 1) - 1,
         );
     }
 
     #placeFirstFit(spec: RequestSpec): InstanceId[] | undefined {
-        const chosen: InstanceId[] = [];
-        const trial = new Map(this.#held);
-        const slots = new Map(this.#slots);
+        const selected: InstanceId[] = [];
+        const heldAfter = new Map(this.#heldResources);
+        const usedSlotsAfter = new Map(this.#usedSlots);
         for (let t = 0; t < spec.count; t++) {
             const instance = this.#instances.find((i) => {
                 const key = `${spec.service}@${i.id}` as InstanceId;
-                const free = (this.#executorSlots.get(key) ?? 0) - (slots.get(key) ?? 0);
+                const freeSlots = (this.#totalSlots.get(key) ?? 0) - (usedSlotsAfter.get(key) ?? 0);
                 return (
-                    free > 0 &&
+                    freeSlots > 0 &&
                     isFitting(
-                        addResources(trial.get(i.id) ?? NO_RESOURCES, spec.demand),
+                        addResources(heldAfter.get(i.id) ?? NO_RESOURCES, spec.demand),
                         i.capacity,
                     )
                 );
@@ -132,19 +132,19 @@
                 return undefined;
             }
             const key = `${spec.service}@${instance.id}` as InstanceId;
-            trial.set(
+            heldAfter.set(
                 instance.id,
-                addResources(trial.get(instance.id) ?? NO_RESOURCES, spec.demand),
+                addResources(heldAfter.get(instance.id) ?? NO_RESOURCES, spec.demand),
             );
-            slots.set(key, (slots.get(key) ?? 0) + 1);
-            chosen.push(instance.id);
+            usedSlotsAfter.set(key, (usedSlotsAfter.get(key) ?? 0) + 1);
+            selected.push(instance.id);
         }
-        for (const [k, v] of trial) {
-            this.#held.set(k, v);
+        for (const [k, v] of heldAfter) {
+            this.#heldResources.set(k, v);
         }
-        for (const [k, v] of slots) {
-            this.#slots.set(k, v);
+        for (const [k, v] of usedSlotsAfter) {
+            this.#usedSlots.set(k, v);
         }
-        return chosen;
+        return selected;
     }
 }
--- a/rules/rules.ts
+++ b/rules/rules.ts
@@ -14,10 +14,15 @@
 import type { CustomerId } from "../inventory/mod.ts";
 
 /** How a kind of work is placed. */
-export type Placement = "latency" | "packing" | "gang" | "spread";
+export type PlacementPolicy = "latency" | "packing" | "gang" | "spread";
 
 /** The placement policies, in the order the docs describe them. */
-export const PLACEMENTS: readonly Placement[] = ["latency", "packing", "gang", "spread"];
+export const PLACEMENT_POLICIES: readonly PlacementPolicy[] = [
+    "latency",
+    "packing",
+    "gang",
+    "spread",
+];
 
 /** A precedence class. */
 export interface PrecedenceClass {
@@ -32,7 +37,7 @@
 export interface KindRule {
     readonly name: string;
     readonly className: string;
-    readonly placement: Placement;
+    readonly placement: PlacementPolicy;
     /**
      * False for work that must run at most once (billed batches, tribute reels): it is never
      * retried after it may have started, and never preempted.
@@ -70,14 +75,14 @@
  * Gives the precedence class of a kind.
  *
  * @param rules The rules in force.
- * @param kind A kind that the rules name.
+ * @param rule A kind that the rules name.
  * @returns Its class.
  * @throws {Error} When the kind or its class is unknown (the rules file check prevents it).
  */
-export function getKindClass(rules: Rules, kind: KindRule): PrecedenceClass {
-    const found = rules.classes.get(kind.className);
-    if (found === undefined) {
-        throw new Error(`kind ${kind.name} names unknown class ${kind.className}`);
+export function getKindClass(rules: Rules, rule: KindRule): PrecedenceClass {
+    const precedenceClass = rules.classes.get(rule.className);
+    if (precedenceClass === undefined) {
+        throw new Error(`kind ${rule.name} names unknown class ${rule.className}`);
     }
-    return found;
+    return precedenceClass;
 }
--- a/rules/rules_book.ts
+++ b/rules/rules_book.ts
@@ -30,18 +30,18 @@
     | { readonly status: "rejected"; readonly version: number; readonly reason: string };
 
 /** A book's whole state, for snapshots. */
-export interface RulesBookState {
+export interface RulesStoreState {
     readonly rules: RulesFile;
     readonly changes: readonly (readonly [string, RulesChangeResult])[];
 }
 
 /** Answers kept for resends; the oldest are dropped first. 4,300 changes a day: two days. */
-const KEPT_CHANGES = 10_000;
+const MAX_STORED_RESULTS = 10_000;
 
 /** The rules in force and the answers to earlier changes. */
-export class RulesBook {
+export class RulesStore {
     #rules: Rules;
-    readonly #changes = new Map<string, RulesChangeResult>();
+    readonly #resultsByChangeId = new Map<string, RulesChangeResult>();
 
     /**
      * @param rules The rules in force at the start.
@@ -63,15 +63,15 @@
      * @returns Applied with the new version, or why not.
      */
     applyChange(change: RulesChange, listProblems: () => readonly string[]): RulesChangeResult {
-        const earlier = this.#changes.get(change.changeId);
-        if (earlier !== undefined) {
-            return earlier;
+        const previousResult = this.#resultsByChangeId.get(change.changeId);
+        if (previousResult !== undefined) {
+            return previousResult;
         }
         const result = this.#computeResult(change, listProblems);
-        this.#changes.set(change.changeId, result);
-        if (this.#changes.size > KEPT_CHANGES) {
-            const [oldest] = this.#changes.keys();
-            this.#changes.delete(oldest as string);
+        this.#resultsByChangeId.set(change.changeId, result);
+        if (this.#resultsByChangeId.size > MAX_STORED_RESULTS) {
+            const [oldest] = this.#resultsByChangeId.keys();
+            this.#resultsByChangeId.delete(oldest as string);
         }
         return result;
     }
@@ -96,20 +96,20 @@
      *
      * @returns Its state as plain data.
      */
-    encode(): RulesBookState {
-        return { rules: createRulesFile(this.#rules), changes: [...this.#changes] };
+    encode(): RulesStoreState {
+        return { rules: createRulesFile(this.#rules), changes: [...this.#resultsByChangeId] };
     }
 
     /**
      * Replaces the whole book.
      *
-     * @param state What {@link RulesBook.encode} gave.
+     * @param state What {@link RulesStore.encode} gave.
      */
-    restore(state: RulesBookState): void {
+    restore(state: RulesStoreState): void {
         this.#rules = createRules(state.rules);
-        this.#changes.clear();
+        this.#resultsByChangeId.clear();
         for (const [changeId, result] of state.changes) {
-            this.#changes.set(changeId, result);
+            this.#resultsByChangeId.set(changeId, result);
         }
     }
 
--- a/rules/rules_file.ts
+++ b/rules/rules_file.ts
@@ -12,11 +12,11 @@
 
 import { z } from "zod";
 import { createId, type CustomerId } from "../inventory/mod.ts";
-import { PLACEMENTS, type Placement, type Rules } from "./rules.ts";
+import { PLACEMENT_POLICIES, type PlacementPolicy, type Rules } from "./rules.ts";
 import { checkSource, checkUnique, type ReportFinding } from "../settings/check_source.ts";
 import { parseYamlSource } from "../settings/yaml_source.ts";
 
-const NAME = z.string().regex(/^[a-z0-9][a-z0-9_-]*$/, "use lower-case letters, digits, _ -");
+const nameSchema = z.string().regex(/^[a-z0-9][a-z0-9_-]*$/, "use lower-case letters, digits, _ -");
 
 /** The schema of a rules file. */
 export const rulesSchema = z
@@ -26,7 +26,7 @@
             .array(
                 z
                     .object({
-                        name: NAME,
+                        name: nameSchema,
                         precedence: z.number().int(),
                         preemptible: z.boolean().default(false),
                     })
@@ -37,16 +37,16 @@
             .array(
                 z
                     .object({
-                        name: NAME,
-                        class: NAME,
-                        placement: z.enum(PLACEMENTS as [string, ...string[]]),
+                        name: nameSchema,
+                        class: nameSchema,
+                        placement: z.enum(PLACEMENT_POLICIES as [string, ...string[]]),
                         idempotent: z.boolean(),
                     })
                     .strict(),
             )
             .min(1),
         quotas: z
-            .array(z.object({ customer: NAME, cores: z.number().positive() }).strict())
+            .array(z.object({ customer: nameSchema, cores: z.number().positive() }).strict())
             .default([]),
     })
     .strict();
@@ -69,26 +69,26 @@
 /**
  * Builds rules from a checked rules file.
  *
- * @param value The checked file.
+ * @param file The checked file.
  * @returns The rules.
  */
-export function createRules(value: RulesFile): Rules {
+export function createRules(file: RulesFile): Rules {
     return {
-        version: value.version,
-        classes: new Map(value.classes.map((c) => [c.name, c])),
+        version: file.version,
+        classes: new Map(file.classes.map((c) => [c.name, c])),
         kinds: new Map(
-            value.kinds.map((k) => [
+            file.kinds.map((k) => [
                 k.name,
                 {
                     name: k.name,
                     className: k.class,
-                    placement: k.placement as Placement,
+                    placement: k.placement as PlacementPolicy,
                     idempotent: k.idempotent,
                 },
             ]),
         ),
         quotas: new Map(
-            value.quotas.map((q) => [
+            file.quotas.map((q) => [
                 createId<CustomerId>(q.customer),
                 { customer: createId<CustomerId>(q.customer), cores: q.cores },
             ]),
@@ -120,21 +120,21 @@
  * Lists what is wrong with rules that passed the schema but came by another way than a file
  * (an operator's `rules.set`): duplicates and kinds naming unknown classes.
  *
- * @param value The rules as sent.
+ * @param file The rules as sent.
  * @returns One line per problem, with its path; empty when they are good.
  */
-export function listRulesProblems(value: RulesFile): string[] {
+export function listRulesProblems(file: RulesFile): string[] {
     const problems: string[] = [];
-    checkReferences(value, (path, message) => problems.push(`${path.join(".")}: ${message}`));
+    checkReferences(file, (path, message) => problems.push(`${path.join(".")}: ${message}`));
     return problems;
 }
 
-function checkReferences(value: RulesFile, report: ReportFinding): void {
-    checkUnique(value.classes, (c) => c.name, ["classes"], report);
-    checkUnique(value.kinds, (k) => k.name, ["kinds"], report);
-    checkUnique(value.quotas, (q) => q.customer, ["quotas"], report);
-    const classes = new Set(value.classes.map((c) => c.name));
-    value.kinds.forEach((kind, k) => {
+function checkReferences(file: RulesFile, report: ReportFinding): void {
+    checkUnique(file.classes, (c) => c.name, ["classes"], report);
+    checkUnique(file.kinds, (k) => k.name, ["kinds"], report);
+    checkUnique(file.quotas, (q) => q.customer, ["quotas"], report);
+    const classes = new Set(file.classes.map((c) => c.name));
+    file.kinds.forEach((kind, k) => {
         if (!classes.has(kind.class)) {
             report(["kinds", k, "class"], `unknown class "${kind.class}"`);
         }
--- a/scheduler/preempt.ts
+++ b/scheduler/preempt.ts
@@ -20,8 +20,8 @@
     type Resources,
     type ServiceId,
 } from "../inventory/mod.ts";
-import type { PlacementAsk } from "./select.ts";
-import { getFreeSlots, isTakingWork, type WorkerState } from "./worker_state.ts";
+import type { PlacementRequirements } from "./select.ts";
+import { getFreeSlots, isSchedulable, type WorkerState } from "./worker_state.ts";
 
 /** A running task that may be stopped for higher work. */
 export interface Victim {
@@ -41,31 +41,37 @@
  * Plans the smallest preemption that makes one task fit.
  *
  * @param workers The candidates.
- * @param ask The placement (one task).
+ * @param requirements The placement (one task).
  * @param precedence The asker's precedence; only strictly lower victims are taken.
  * @param listVictims Gives a worker's preemptible tasks (idempotent, preemptible class).
- * @param now The time in ms.
+ * @param nowMs The time in ms.
  * @returns The plan, or `undefined` when no preemption would make room.
  */
 export function planPreemption(
     workers: readonly WorkerState[],
-    ask: PlacementAsk,
+    requirements: PlacementRequirements,
     precedence: number,
     listVictims: (worker: WorkerState) => readonly Victim[],
-    now: number,
+    nowMs: number,
 ): PreemptionPlan | undefined {
     let best: PreemptionPlan | undefined;
     for (const worker of workers) {
-        if (!isTakingWork(worker, now) || !isFitting(ask.demand, worker.instance.capacity)) {
+        if (
+            !isSchedulable(worker, nowMs) ||
+            !isFitting(requirements.demand, worker.instance.capacity)
+        ) {
             continue;
         }
-        const victims = listVictims(worker)
+        const candidates = listVictims(worker)
             .filter((v) => v.precedence < precedence)
             .sort((a, b) => a.precedence - b.precedence || b.held.cores - a.held.cores);
-        const plan = planOnWorker(worker, ask, victims);
-        if (plan !== undefined && (best === undefined || plan.length < best.victims.length)) {
-            best = { worker, victims: plan };
-            if (plan.length === 1) {
+        const leaseIds = selectVictims(worker, requirements, candidates);
+        if (
+            leaseIds !== undefined &&
+            (best === undefined || leaseIds.length < best.victims.length)
+        ) {
+            best = { worker, victims: leaseIds };
+            if (leaseIds.length === 1) {
                 break;
             }
         }
@@ -73,24 +79,29 @@
     return best;
 }
 
-function planOnWorker(
+function selectVictims(
     worker: WorkerState,
-    ask: PlacementAsk,
-    victims: readonly Victim[],
+    requirements: PlacementRequirements,
+    candidates: readonly Victim[],
 ): LeaseId[] | undefined {
     let held = worker.held;
-    let slots = getFreeSlots(worker, ask.service);
-    const chosen: LeaseId[] = [];
-    for (const victim of victims) {
-        if (slots > 0 && isFitting(addResources(held, ask.demand), worker.instance.capacity)) {
+    let freeSlots = getFreeSlots(worker, requirements.service);
+    const selected: LeaseId[] = [];
+    for (const candidate of candidates) {
+        if (
+            freeSlots > 0 &&
+            isFitting(addResources(held, requirements.demand), worker.instance.capacity)
+        ) {
             break;
         }
-        held = removeResources(held, victim.held);
-        if (victim.service === ask.service) {
-            slots += 1;
+        held = removeResources(held, candidate.held);
+        if (candidate.service === requirements.service) {
+            freeSlots += 1;
         }
-        chosen.push(victim.lease);
+        selected.push(candidate.lease);
     }
-    const fits = slots > 0 && isFitting(addResources(held, ask.demand), worker.instance.capacity);
-    return fits && chosen.length > 0 ? chosen : undefined;
+    const fits =
+        freeSlots > 0 &&
+        isFitting(addResources(held, requirements.demand), worker.instance.capacity);
+    return fits && selected.length > 0 ? selected : undefined;
 }
--- a/scheduler/select.ts
+++ b/scheduler/select.ts
@@ -13,20 +13,20 @@
  */
 
 import { addResources, isFitting, type Resources, type ServiceId } from "../inventory/mod.ts";
-import type { Placement } from "../rules/mod.ts";
-import { getFree, getFreeSlots, isTakingWork, type WorkerState } from "./worker_state.ts";
+import type { PlacementPolicy } from "../rules/mod.ts";
+import { getFreeResources, getFreeSlots, isSchedulable, type WorkerState } from "./worker_state.ts";
 
 /** What one placement asks for. */
-export interface PlacementAsk {
+export interface PlacementRequirements {
     readonly demand: Resources;
     readonly service: ServiceId;
-    readonly placement: Placement;
+    readonly placement: PlacementPolicy;
     /** Tasks placed at once: gang size or service replicas; 1 otherwise. */
     readonly count: number;
 }
 
 /** Extra use put on workers by earlier choices of the same decision. */
-type Pending = Map<WorkerState, number>;
+type TaskCountByWorker = Map<WorkerState, number>;
 
 /**
  * Tells whether `count` more tasks of `demand` fit on a worker, counting what the decision
@@ -34,65 +34,71 @@
  * held counts leases not yet reported as used.
  *
  * @param worker The worker.
- * @param ask The placement.
- * @param already Tasks of this decision already put on the worker.
- * @param now The time in ms.
+ * @param requirements The placement.
+ * @param assignedTaskCount Tasks of this decision already put on the worker.
+ * @param nowMs The time in ms.
  * @returns True when one more task fits.
  */
 export function isFeasible(
     worker: WorkerState,
-    ask: PlacementAsk,
-    already: number,
-    now: number,
+    requirements: PlacementRequirements,
+    assignedTaskCount: number,
+    nowMs: number,
 ): boolean {
-    if (!isTakingWork(worker, now) || getFreeSlots(worker, ask.service) <= already) {
+    if (
+        !isSchedulable(worker, nowMs) ||
+        getFreeSlots(worker, requirements.service) <= assignedTaskCount
+    ) {
         return false;
     }
-    const after = addResources(worker.held, computeScaled(ask.demand, already + 1));
-    return isFitting(after, worker.instance.capacity);
+    const heldAfter = addResources(
+        worker.held,
+        computeTotalDemand(requirements.demand, assignedTaskCount + 1),
+    );
+    return isFitting(heldAfter, worker.instance.capacity);
 }
 
 /**
  * Chooses workers for every task of a placement, or none at all (all-or-nothing).
  *
  * @param workers The candidates.
- * @param ask The placement.
- * @param now The time in ms.
+ * @param requirements The placement.
+ * @param nowMs The time in ms.
  * @returns One worker per task (a worker may repeat), or `undefined` when they do not all fit.
  */
-export function placeTask(
+export function placeTasks(
     workers: readonly WorkerState[],
-    ask: PlacementAsk,
-    now: number,
+    requirements: PlacementRequirements,
+    nowMs: number,
 ): WorkerState[] | undefined {
-    const pending: Pending = new Map();
-    const chosen: WorkerState[] = [];
-    for (let i = 0; i < ask.count; i++) {
-        const worker = selectOne(workers, ask, pending, chosen, now);
+    const taskCountByWorker: TaskCountByWorker = new Map();
+    const selected: WorkerState[] = [];
+    for (let i = 0; i < requirements.count; i++) {
+        const worker = selectWorker(workers, requirements, taskCountByWorker, selected, nowMs);
         if (worker === undefined) {
             return undefined;
         }
-        pending.set(worker, (pending.get(worker) ?? 0) + 1);
-        chosen.push(worker);
+        taskCountByWorker.set(worker, (taskCountByWorker.get(worker) ?? 0) + 1);
+        selected.push(worker);
     }
-    return chosen;
+    return selected;
 }
 
-function selectOne(
+function selectWorker(
     workers: readonly WorkerState[],
-    ask: PlacementAsk,
-    pending: Pending,
-    chosen: readonly WorkerState[],
-    now: number,
+    requirements: PlacementRequirements,
+    taskCountByWorker: TaskCountByWorker,
+    selected: readonly WorkerState[],
+    nowMs: number,
 ): WorkerState | undefined {
     let best: WorkerState | undefined;
     let bestScore = Number.POSITIVE_INFINITY;
     for (const worker of workers) {
-        const already = pending.get(worker) ?? 0;
-        if (!isFeasible(worker, ask, already, now)) {
+        const assignedTaskCount = taskCountByWorker.get(worker) ?? 0;
+        if (!isFeasible(worker, requirements, assignedTaskCount, nowMs)) {
             continue;
         }
-        const score = rankWorker(worker, ask, already, chosen);
+        const score = computeWorkerScore(worker, requirements, assignedTaskCount, selected);
         if (score < bestScore) {
             bestScore = score;
             best = worker;
@@ -107,24 +113,29 @@
  * packing and gang: best fit, the fewest cores left over, so large holes stay whole.
  * spread: a rack and zone not yet used by this decision, then the emptiest.
  */
-function rankWorker(
+function computeWorkerScore(
     worker: WorkerState,
-    ask: PlacementAsk,
-    already: number,
-    chosen: readonly WorkerState[],
+    requirements: PlacementRequirements,
+    assignedTaskCount: number,
+    selected: readonly WorkerState[],
 ): number {
-    const free = getFree(worker).cores - ask.demand.cores * (already + 1);
-    switch (ask.placement) {
+    const freeCoresAfter =
+        getFreeResources(worker).cores - requirements.demand.cores * (assignedTaskCount + 1);
+    switch (requirements.placement) {
         case "latency":
-            return -free;
+            return -freeCoresAfter;
         case "packing":
         case "gang":
-            return free;
+            return freeCoresAfter;
         case "spread": {
-            const sameZone = chosen.filter((c) => c.instance.zone === worker.instance.zone).length;
-            const sameRack = chosen.filter((c) => c.instance.rack === worker.instance.rack).length;
-            const sameWorker = chosen.filter((c) => c === worker).length;
-            return sameWorker * 1e9 + sameRack * 1e6 + sameZone * 1e3 - free;
+            const sameZone = selected.filter(
+                (c) => c.instance.zone === worker.instance.zone,
+            ).length;
+            const sameRack = selected.filter(
+                (c) => c.instance.rack === worker.instance.rack,
+            ).length;
+            const sameWorker = selected.filter((c) => c === worker).length;
+            return sameWorker * 1e9 + sameRack * 1e6 + sameZone * 1e3 - freeCoresAfter;
         }
     }
 }
@@ -132,15 +143,15 @@
 /**
  * Multiplies resources by a whole number.
  *
- * @param resources One task's demand.
- * @param times How many tasks.
+ * @param demand One task's demand.
+ * @param count How many tasks.
  * @returns The total.
  */
-export function computeScaled(resources: Resources, times: number): Resources {
+export function computeTotalDemand(demand: Resources, count: number): Resources {
     return {
-        cores: resources.cores * times,
-        memoryMb: resources.memoryMb * times,
-        accelerators: resources.accelerators * times,
+        cores: demand.cores * count,
+        memoryMb: demand.memoryMb * count,
+        accelerators: demand.accelerators * count,
     };
 }
 
@@ -149,26 +160,29 @@
  * A request that fails here is refused at once: it would wait for ever.
  *
  * @param workers Every worker of the inventory, alive or not.
- * @param ask The placement.
+ * @param requirements The placement.
  * @returns True when an empty cell could hold all its tasks.
  */
-export function isEverFeasible(workers: readonly WorkerState[], ask: PlacementAsk): boolean {
-    let room = 0;
+export function isFeasibleOnEmptyWorkers(
+    workers: readonly WorkerState[],
+    requirements: PlacementRequirements,
+): boolean {
+    let taskCapacity = 0;
     for (const worker of workers) {
-        const slots = worker.slots.get(ask.service) ?? 0;
-        if (slots === 0 || !isFitting(ask.demand, worker.instance.capacity)) {
+        const slots = worker.slots.get(requirements.service) ?? 0;
+        if (slots === 0 || !isFitting(requirements.demand, worker.instance.capacity)) {
             continue;
         }
-        const byCores =
-            ask.demand.cores > 0
-                ? Math.floor(worker.instance.capacity.cores / ask.demand.cores)
+        const maxTasksByCores =
+            requirements.demand.cores > 0
+                ? Math.floor(worker.instance.capacity.cores / requirements.demand.cores)
                 : slots;
-        const byMemory =
-            ask.demand.memoryMb > 0
-                ? Math.floor(worker.instance.capacity.memoryMb / ask.demand.memoryMb)
+        const maxTasksByMemory =
+            requirements.demand.memoryMb > 0
+                ? Math.floor(worker.instance.capacity.memoryMb / requirements.demand.memoryMb)
                 : slots;
-        room += Math.min(slots, byCores, byMemory);
-        if (room >= ask.count) {
+        taskCapacity += Math.min(slots, maxTasksByCores, maxTasksByMemory);
+        if (taskCapacity >= requirements.count) {
             return true;
         }
     }
--- a/scheduler/worker_state.ts
+++ b/scheduler/worker_state.ts
@@ -86,7 +86,7 @@
  * @param worker The worker.
  * @returns Free resources (never below what the capacity allows; may be zero).
  */
-export function getFree(worker: WorkerState): Resources {
+export function getFreeResources(worker: WorkerState): Resources {
     return removeResources(worker.instance.capacity, worker.held);
 }
 
@@ -105,9 +105,9 @@
  * Tells whether a worker takes new work now.
  *
  * @param worker The worker.
- * @param now The time in ms.
+ * @param nowMs The time in ms.
  * @returns True when alive, neither drained nor leaving, and not quarantined.
  */
-export function isTakingWork(worker: WorkerState, now: number): boolean {
-    return worker.alive && !worker.drained && !worker.leaving && worker.quarantinedUntil <= now;
+export function isSchedulable(worker: WorkerState, nowMs: number): boolean {
+    return worker.alive && !worker.drained && !worker.leaving && worker.quarantinedUntil <= nowMs;
 }
