--- a/reference/differential_test.ts
+++ b/reference/differential_test.ts
@@ -9,7 +9,7 @@
 import { listInvariantViolations } from "../cell/_invariants.ts";
 import type { Effect } from "../cell/mod.ts";
 import type { LeaseId } from "../inventory/mod.ts";
-import { ReferenceScheduler } from "./reference.ts";
+import { ReferenceScheduler } from "./reference_scheduler.ts";
 
 const KINDS = ["preview", "batch", "reel", "hero", "gang", "service", "unknown"] as const;
 
--- a/reference/mod.ts
+++ b/reference/mod.ts
@@ -9,4 +9,4 @@
  * @module
  */
 
-export * from "./reference.ts";
+export * from "./reference_scheduler.ts";
--- a/reference/reference.ts
+++ b/reference/reference_scheduler.ts
@@ -6,7 +6,7 @@
  *
  * @example
  * ```ts
- * import { ReferenceScheduler } from "./reference.ts";
+ * import { ReferenceScheduler } from "./reference_scheduler.ts";
  * const reference = new ReferenceScheduler(inventory, rules);
  * reference.submit(spec);
  * reference.placeAll();
--- a/rules/mod.ts
+++ b/rules/mod.ts
@@ -10,4 +10,4 @@
  */
 
 export * from "./rules.ts";
-export * from "./rules_book.ts";
+export * from "./rules_store.ts";
--- a/rules/rules_book.ts
+++ b/rules/rules_store.ts
@@ -4,7 +4,7 @@
  *
  * @example
  * ```ts
- * import { RulesBook } from "./rules_book.ts";
+ * import { RulesBook } from "./rules_store.ts";
  * const book = new RulesBook(rules);
  * const result = book.applyChange(change, () => []);
  * ```
--- a/scheduler/mod.ts
+++ b/scheduler/mod.ts
@@ -11,6 +11,6 @@
  * @module
  */
 
-export * from "./preempt.ts";
-export * from "./select.ts";
+export * from "./preemption.ts";
+export * from "./placement.ts";
 export * from "./worker_state.ts";
--- a/scheduler/select.ts
+++ b/scheduler/placement.ts
@@ -5,7 +5,7 @@
  *
  * @example
  * ```ts
- * import { placeTask } from "./select.ts";
+ * import { placeTask } from "./placement.ts";
  * const worker = placeTask(workers, { demand, service, placement: "latency" }, now);
  * ```
  *
--- a/scheduler/preempt.ts
+++ b/scheduler/preemption.ts
@@ -5,7 +5,7 @@
  *
  * @example
  * ```ts
- * import { planPreemption } from "./preempt.ts";
+ * import { planPreemption } from "./preemption.ts";
  * const plan = planPreemption(workers, ask, 100, listVictims, now);
  * ```
  *
@@ -20,7 +20,7 @@
     type Resources,
     type ServiceId,
 } from "../inventory/mod.ts";
-import type { PlacementRequirements } from "./select.ts";
+import type { PlacementRequirements } from "./placement.ts";
 import { getFreeSlots, isSchedulable, type WorkerState } from "./worker_state.ts";
 
 /** A running task that may be stopped for higher work. */
