--- a/reference/differential_test.ts
+++ b/reference/differential_test.ts
@@ -35,9 +35,8 @@
 );
 
 test("the cell keeps every invariant over random request streams and worker faults", (t) => {
-    // What is checked after every step: no worker holds more than it has, no task has two live
-    // leases, no at-most-once task starts twice, no request says "did not run" after a start, no
-    // final request keeps a live lease. The worker side (starts) is kept by the test itself.
+    // Guards against overcommitment, duplicate live leases, second starts of at-most-once tasks,
+    // false "did not run" results, and live leases of requests in a final state.
     fc.assert(
         fc.property(fc.array(operationArbitrary, { minLength: 5, maxLength: 80 }), (ops) => {
             const cell = buildCell({ workers: 3, leaseTtlMs: 100, leaseGraceMs: 50 });
@@ -109,8 +108,7 @@
 });
 
 test("the cell and the naive reference agree on what can never run, and neither overcommits", (t) => {
-    // Differential: one stream through both. A request the reference refuses (no rule, fits no
-    // instance) the cell must refuse too, and the reverse; both place only what fits.
+    // Requests are refused when no rule names their kind or when they fit on no instance.
     fc.assert(
         fc.property(
             fc.array(
--- a/reference/mod.ts
+++ b/reference/mod.ts
@@ -1,9 +1,10 @@
 /**
- * The naive single-process reference scheduler used by the differential tests.
+ * The reference scheduler that differential tests compare the cell with.
  *
  * @example
  * ```ts
  * import { ReferenceScheduler } from "./mod.ts";
+ * const reference = new ReferenceScheduler(inventory, rules);
  * ```
  *
  * @module
--- a/reference/reference_scheduler.ts
+++ b/reference/reference_scheduler.ts
@@ -1,8 +1,6 @@
 /**
- * The naive reference scheduler for differential tests: one process, first fit, no
- * concurrency, no preemption, no policies. It places each request on the first workers with
- * room, in arrival order, and keeps its own books. Its results are checked against the same
- * invariants as the cell's.
+ * A first-fit scheduler without preemption or placement policies, as the reference for
+ * differential tests of the cell.
  *
  * @example
  * ```ts
@@ -27,13 +25,13 @@
 } from "../inventory/mod.ts";
 import type { Rules } from "../rules/mod.ts";
 
-/** A placement the reference made. */
+/** The instances on which the tasks of a request were placed. */
 export interface ReferencePlacement {
     readonly requestIndex: number;
     readonly instanceIds: readonly InstanceId[];
 }
 
-/** The naive scheduler. */
+/** Places requests in order of arrival on the first instances with enough capacity. */
 export class ReferenceScheduler {
     readonly #instances: readonly Instance[];
     readonly #rules: Rules;
@@ -41,9 +39,9 @@
     readonly #usedSlots = new Map<InstanceId, number>();
     readonly #totalSlots = new Map<string, number>();
     readonly #queue: { index: number; spec: RequestSpec }[] = [];
-    /** What it placed, in order. */
+    /** Placements in the order in which they were made. */
     readonly placements: ReferencePlacement[] = [];
-    /** Requests it refused, by index. */
+    /** Indexes of the refused requests. */
     readonly refused = new Set<number>();
     #nextIndex = 0;
 
@@ -60,10 +58,11 @@
     }
 
     /**
-     * Takes a request; refuses a kind without a rule or one that fits no instance at all.
+     * Queues a request. Requests of an unknown kind, and those that fit on no instance, are
+     * refused.
      *
      * @param spec The request.
-     * @returns Its index.
+     * @returns The index of the request.
      */
     submit(spec: RequestSpec): number {
         const index = this.#nextIndex++;
@@ -80,7 +79,7 @@
         return index;
     }
 
-    /** Places what fits now, first fit, in arrival order; a gang all at once or not at all. */
+    /** Places the queued requests that fit; either all tasks of a request are placed or none. */
     placeAll(): void {
         for (const queued of [...this.#queue]) {
             const instanceIds = this.#placeFirstFit(queued.spec);
@@ -92,10 +91,10 @@
     }
 
     /**
-     * Ends one placed task, freeing what it held.
+     * Releases the resources and the slot of one placed task.
      *
-     * @param worker Where it ran.
-     * @param spec Its request.
+     * @param worker The instance of the task.
+     * @param spec The request of the task.
      */
     releaseTask(worker: InstanceId, spec: RequestSpec): void {
         this.#heldResources.set(
--- a/rules/mod.ts
+++ b/rules/mod.ts
@@ -1,9 +1,11 @@
 /**
- * Precedence classes, kinds of request with their placement and idempotency, and quotas.
+ * Scheduling rules: precedence classes, request kinds and customer quotas, and versioned changes
+ * to them.
  *
  * @example
  * ```ts
  * import { getKindRule } from "./mod.ts";
+ * const rule = getKindRule(rules, "preview");
  * ```
  *
  * @module
--- a/rules/rules.ts
+++ b/rules/rules.ts
@@ -1,6 +1,6 @@
 /**
- * Rules that operators put on top of the inventory: precedence classes, the kinds of request
- * with their placement policy and whether they may run twice, and quotas per customer.
+ * Scheduling rules that operators define: precedence classes, request kinds with their placement
+ * policy and idempotency, and quotas per customer.
  *
  * @example
  * ```ts
@@ -13,10 +13,10 @@
 
 import type { CustomerId } from "../inventory/mod.ts";
 
-/** How a kind of work is placed. */
+/** A strategy for the selection of workers. */
 export type PlacementPolicy = "latency" | "packing" | "gang" | "spread";
 
-/** The placement policies, in the order the docs describe them. */
+/** All placement policies. */
 export const PLACEMENT_POLICIES: readonly PlacementPolicy[] = [
     "latency",
     "packing",
@@ -24,28 +24,28 @@
     "spread",
 ];
 
-/** A precedence class. */
+/** A class of request kinds that are scheduled and preempted with the same precedence. */
 export interface PrecedenceClass {
     readonly name: string;
-    /** Higher goes first; a higher class may preempt a lower, preemptible one. */
+    /** Requests of higher precedence are placed first and may preempt those of lower precedence. */
     readonly precedence: number;
-    /** Whether its running tasks may be stopped for higher work (idempotent tasks only). */
+    /** Whether idempotent tasks of this class may be preempted. */
     readonly preemptible: boolean;
 }
 
-/** What the rules say of one kind of request. */
+/** The rule for one kind of request. */
 export interface KindRule {
     readonly name: string;
     readonly className: string;
     readonly placement: PlacementPolicy;
     /**
-     * False for work that must run at most once (billed batches, tribute reels): it is never
-     * retried after it may have started, and never preempted.
+     * Whether tasks may run more than once. Other tasks run at most once: they are not preempted,
+     * and not retried once they may have started.
      */
     readonly idempotent: boolean;
 }
 
-/** A customer's quota: the most it may hold leased at once. */
+/** The maximum number of cores that a customer may hold at a time. */
 export interface Quota {
     readonly customer: CustomerId;
     readonly cores: number;
@@ -53,7 +53,7 @@
 
 /** The rules in force. */
 export interface Rules {
-    /** Raised by one on every accepted change; a change names the version it replaces. */
+    /** Incremented by each applied change; a change names the version that it replaces. */
     readonly version: number;
     readonly classes: ReadonlyMap<string, PrecedenceClass>;
     readonly kinds: ReadonlyMap<string, KindRule>;
@@ -61,23 +61,23 @@
 }
 
 /**
- * Looks up a kind's rule.
+ * Returns the rule for a kind of request.
  *
  * @param rules The rules in force.
- * @param kind The request's kind.
- * @returns The rule, or `undefined` for a kind the rules do not name.
+ * @param kind The name of the kind.
+ * @returns The rule, or `undefined` for an unknown kind.
  */
 export function getKindRule(rules: Rules, kind: string): KindRule | undefined {
     return rules.kinds.get(kind);
 }
 
 /**
- * Gives the precedence class of a kind.
+ * Returns the precedence class of a kind.
  *
  * @param rules The rules in force.
- * @param rule A kind that the rules name.
- * @returns Its class.
- * @throws {Error} When the kind or its class is unknown (the rules file check prevents it).
+ * @param rule The rule of the kind.
+ * @returns The class.
+ * @throws {Error} When the class is unknown, which the validation of the rules file prevents.
  */
 export function getKindClass(rules: Rules, rule: KindRule): PrecedenceClass {
     const precedenceClass = rules.classes.get(rule.className);
--- a/rules/rules_file.ts
+++ b/rules/rules_file.ts
@@ -1,5 +1,5 @@
 /**
- * The rules file: precedence classes, kinds, quotas.
+ * Parses and validates rules files, and converts rules to and from the format of the file.
  *
  * @example
  * ```ts
@@ -51,25 +51,25 @@
     })
     .strict();
 
-/** The rules file as written. */
+/** The contents of a rules file. */
 export type RulesFile = z.infer<typeof rulesSchema>;
 
 /**
- * Parses and checks a rules file; every bad line is reported, and nothing is loaded then.
+ * Parses and validates a rules file.
  *
- * @param file The file's path, used in findings.
+ * @param file The path of the file, which is included in findings.
  * @param text The YAML text.
  * @returns The rules.
- * @throws {FindingsError} With every finding.
+ * @throws {FindingsError} With all findings of the stage that failed.
  */
 export function loadRulesText(file: string, text: string): Rules {
     return createRules(checkSource(parseYamlSource(file, text), rulesSchema, checkReferences));
 }
 
 /**
- * Builds rules from a checked rules file.
+ * Creates rules from the contents of a rules file.
  *
- * @param file The checked file.
+ * @param file The validated contents.
  * @returns The rules.
  */
 export function createRules(file: RulesFile): Rules {
@@ -97,10 +97,10 @@
 }
 
 /**
- * Gives rules back as a file's contents; {@link createRules} of it gives equal rules.
+ * Creates the contents of a rules file from rules; the inverse of {@link createRules}.
  *
  * @param rules The rules.
- * @returns The file's value.
+ * @returns The contents.
  */
 export function createRulesFile(rules: Rules): RulesFile {
     return {
@@ -117,11 +117,11 @@
 }
 
 /**
- * Lists what is wrong with rules that passed the schema but came by another way than a file
- * (an operator's `rules.set`): duplicates and kinds naming unknown classes.
+ * Lists duplicate names and references to unknown classes in rules that match the schema but were
+ * not read from a file, such as the rules of an operator's `rules.set` call.
  *
- * @param file The rules as sent.
- * @returns One line per problem, with its path; empty when they are good.
+ * @param file The rules.
+ * @returns One line per problem, with its path; empty for valid rules.
  */
 export function listRulesProblems(file: RulesFile): string[] {
     const problems: string[] = [];
--- a/rules/rules_store.ts
+++ b/rules/rules_store.ts
@@ -1,12 +1,12 @@
 /**
- * The rules in force and the changes that led there: one winner among operators who race with
- * equal version numbers, one effect for a change that is resent, and never a step back.
+ * Stores the rules in force and applies changes to them with optimistic concurrency control.
+ * Changes are idempotent by id, and the version never decreases.
  *
  * @example
  * ```ts
- * import { RulesBook } from "./rules_store.ts";
- * const book = new RulesBook(rules);
- * const result = book.applyChange(change, () => []);
+ * import { RulesStore } from "./rules_store.ts";
+ * const store = new RulesStore(rules);
+ * const result = store.applyChange(change, () => []);
  * ```
  *
  * @module
@@ -15,36 +15,36 @@
 import { createRules, createRulesFile, type RulesFile } from "./rules_file.ts";
 import type { Rules } from "./rules.ts";
 
-/** A rules change as an operator sends it. */
+/** A change of the rules, as sent by an operator. */
 export interface RulesChange {
     readonly changeId: string;
-    /** The version the change replaces; equal versions race, and one wins. */
+    /** The version to replace; the change conflicts when another version is in force. */
     readonly expectedVersion: number;
     readonly rules: RulesFile;
 }
 
-/** The answer to a rules change. */
+/** The result of a rules change. */
 export type RulesChangeResult =
     | { readonly status: "applied"; readonly version: number }
     | { readonly status: "conflict"; readonly version: number; readonly reason: string }
     | { readonly status: "rejected"; readonly version: number; readonly reason: string };
 
-/** A book's whole state, for snapshots. */
+/** The state of a rules store in snapshots. */
 export interface RulesStoreState {
     readonly rules: RulesFile;
     readonly changes: readonly (readonly [string, RulesChangeResult])[];
 }
 
-/** Answers kept for resends; the oldest are dropped first. 4,300 changes a day: two days. */
+/** Maximum number of stored results of changes; the oldest is removed first. */
 const MAX_STORED_RESULTS = 10_000;
 
-/** The rules in force and the answers to earlier changes. */
+/** Stores the rules in force and the results of recent changes. */
 export class RulesStore {
     #rules: Rules;
     readonly #resultsByChangeId = new Map<string, RulesChangeResult>();
 
     /**
-     * @param rules The rules in force at the start.
+     * @param rules The initial rules.
      */
     constructor(rules: Rules) {
         this.#rules = rules;
@@ -56,11 +56,12 @@
     }
 
     /**
-     * Applies a change, once per change id.
+     * Applies a change, or returns the stored result when its id is already known.
      *
      * @param change The change.
-     * @param listProblems Finds what would break; asked only when the version is right.
-     * @returns Applied with the new version, or why not.
+     * @param listProblems Returns the reasons to reject the change; called only when the versions
+     * match.
+     * @returns The new version, or the reason why the change was not applied.
      */
     applyChange(change: RulesChange, listProblems: () => readonly string[]): RulesChangeResult {
         const previousResult = this.#resultsByChangeId.get(change.changeId);
@@ -77,11 +78,11 @@
     }
 
     /**
-     * Takes rules that were decided elsewhere; older ones than those in force are ignored, so
-     * an accepted change never reverts.
+     * Adopts rules that another replica group has accepted. Versions that are not newer than the
+     * one in force are ignored, so that a change is never reverted.
      *
      * @param file The rules with their version.
-     * @returns Whether they are in force now.
+     * @returns Whether the rules were adopted.
      */
     adoptRules(file: RulesFile): boolean {
         if (file.version <= this.#rules.version) {
@@ -92,18 +93,18 @@
     }
 
     /**
-     * Encodes the whole book.
+     * Encodes the state for a snapshot.
      *
-     * @returns Its state as plain data.
+     * @returns The state as plain data.
      */
     encode(): RulesStoreState {
         return { rules: createRulesFile(this.#rules), changes: [...this.#resultsByChangeId] };
     }
 
     /**
-     * Replaces the whole book.
+     * Replaces the state with that of a snapshot.
      *
-     * @param state What {@link RulesStore.encode} gave.
+     * @param state The output of {@link RulesStore.encode}.
      */
     restore(state: RulesStoreState): void {
         this.#rules = createRules(state.rules);
--- a/scheduler/mod.ts
+++ b/scheduler/mod.ts
@@ -1,11 +1,15 @@
 /**
- * Pure placement decisions: feasibility, ranking per policy, gang and spread, preemption.
- * No I/O and no clock: every function takes the time it needs.
+ * Placement and preemption decisions, computed from the state of the workers. The functions
+ * perform no I/O; the current time is a parameter.
  *
  * @example
  * ```ts
- * import { placeTask } from "./mod.ts";
- * const chosen = placeTask(workers, { demand, service, placement: "packing", count: 1 }, now);
+ * import { placeTasks } from "./mod.ts";
+ * const selected = placeTasks(
+ *     workers,
+ *     { demand, service, placement: "packing", count: 1 },
+ *     Date.now(),
+ * );
  * ```
  *
  * @module
--- a/scheduler/placement.ts
+++ b/scheduler/placement.ts
@@ -1,12 +1,12 @@
 /**
- * Placement decisions, pure: which worker (or workers) a task goes to under each policy.
- * Latency-first for previews and join checks, packing for batches, all-or-nothing for gangs,
- * spread across racks and zones for services.
+ * Selects the workers for the tasks of a request: the least loaded worker for low latency, best
+ * fit for packing and gangs, or spread across racks and zones.
  *
  * @example
  * ```ts
- * import { placeTask } from "./placement.ts";
- * const worker = placeTask(workers, { demand, service, placement: "latency" }, now);
+ * import { placeTasks } from "./placement.ts";
+ * const requirements = { demand, service, placement: "latency", count: 1 } as const;
+ * const selected = placeTasks(workers, requirements, Date.now());
  * ```
  *
  * @module
@@ -16,28 +16,27 @@
 import type { PlacementPolicy } from "../rules/mod.ts";
 import { getFreeResources, getFreeSlots, isSchedulable, type WorkerState } from "./worker_state.ts";
 
-/** What one placement asks for. */
+/** The resources, service and placement policy that a request needs. */
 export interface PlacementRequirements {
     readonly demand: Resources;
     readonly service: ServiceId;
     readonly placement: PlacementPolicy;
-    /** Tasks placed at once: gang size or service replicas; 1 otherwise. */
+    /** Number of tasks to place together: the gang size or service replicas; 1 otherwise. */
     readonly count: number;
 }
 
-/** Extra use put on workers by earlier choices of the same decision. */
+/** Number of tasks that the current placement has already assigned to each worker. */
 type TaskCountByWorker = Map<WorkerState, number>;
 
 /**
- * Tells whether `count` more tasks of `demand` fit on a worker, counting what the decision
- * already put there. This is the overcommit safeguard: every placement passes here, and what is
- * held counts leases not yet reported as used.
+ * Checks whether one more task fits on a worker. Every placement goes through this check, which
+ * prevents overcommitment: leases hold their declared resources before any usage is reported.
  *
  * @param worker The worker.
- * @param requirements The placement.
- * @param assignedTaskCount Tasks of this decision already put on the worker.
- * @param nowMs The time in ms.
- * @returns True when one more task fits.
+ * @param requirements The requirements of each task.
+ * @param assignedTaskCount Number of tasks that this placement has already assigned to the worker.
+ * @param nowMs The current time in ms.
+ * @returns True when the worker is schedulable and has a free slot and enough resources.
  */
 export function isFeasible(
     worker: WorkerState,
@@ -59,12 +58,12 @@
 }
 
 /**
- * Chooses workers for every task of a placement, or none at all (all-or-nothing).
+ * Selects a worker for each task of a request; either all tasks are placed or none.
  *
- * @param workers The candidates.
- * @param requirements The placement.
- * @param nowMs The time in ms.
- * @returns One worker per task (a worker may repeat), or `undefined` when they do not all fit.
+ * @param workers The candidate workers.
+ * @param requirements The requirements of the request.
+ * @param nowMs The current time in ms.
+ * @returns One worker per task, possibly repeated, or `undefined` when not all tasks fit.
  */
 export function placeTasks(
     workers: readonly WorkerState[],
@@ -108,10 +107,12 @@
 }
 
 /**
- * Scores a feasible worker; lower is better.
- * latency: the emptiest worker, so the task starts at once and does not contend.
- * packing and gang: best fit, the fewest cores left over, so large holes stay whole.
- * spread: a rack and zone not yet used by this decision, then the emptiest.
+ * Computes the score of a feasible worker; lower is better.
+ *
+ * - latency: most free cores, which limits contention.
+ * - packing, gang: fewest free cores left (best fit), which limits fragmentation.
+ * - spread: fewest tasks of this placement on the same worker, then rack, then zone; then most
+ *   free cores.
  */
 function computeWorkerScore(
     worker: WorkerState,
@@ -141,11 +142,11 @@
 }
 
 /**
- * Multiplies resources by a whole number.
+ * Computes the resources that several equal tasks need together.
  *
- * @param demand One task's demand.
- * @param count How many tasks.
- * @returns The total.
+ * @param demand The demand of one task.
+ * @param count The number of tasks.
+ * @returns The total demand.
  */
 export function computeTotalDemand(demand: Resources, count: number): Resources {
     return {
@@ -156,12 +157,12 @@
 }
 
 /**
- * Tells whether a placement could ever fit on the inventory as it is, everything else gone.
- * A request that fails here is refused at once: it would wait for ever.
+ * Checks whether a request would fit if no other task ran. A request that fails this check is
+ * refused, since it would stay queued indefinitely.
  *
- * @param workers Every worker of the inventory, alive or not.
- * @param requirements The placement.
- * @returns True when an empty cell could hold all its tasks.
+ * @param workers All workers of the inventory, including those that are not alive.
+ * @param requirements The requirements of the request.
+ * @returns True when the workers have the capacity for all tasks.
  */
 export function isFeasibleOnEmptyWorkers(
     workers: readonly WorkerState[],
--- a/scheduler/preemption.ts
+++ b/scheduler/preemption.ts
@@ -1,12 +1,11 @@
 /**
- * Preemption planning, pure: which lower-precedence tasks to stop so that a task of higher
- * precedence fits. Only idempotent tasks of preemptible classes are ever chosen; a billed batch
- * or a tribute reel is never stopped to make room, since it could not run again.
+ * Preemption planning: selects the lower-precedence tasks to stop so that a task of higher
+ * precedence fits. The caller offers only idempotent tasks of preemptible classes as victims.
  *
  * @example
  * ```ts
  * import { planPreemption } from "./preemption.ts";
- * const plan = planPreemption(workers, ask, 100, listVictims, now);
+ * const plan = planPreemption(workers, requirements, 100, listVictims, Date.now());
  * ```
  *
  * @module
@@ -23,7 +22,7 @@
 import type { PlacementRequirements } from "./placement.ts";
 import { getFreeSlots, isSchedulable, type WorkerState } from "./worker_state.ts";
 
-/** A running task that may be stopped for higher work. */
+/** A task that may be stopped in favor of a task of higher precedence. */
 export interface Victim {
     readonly lease: LeaseId;
     readonly service: ServiceId;
@@ -31,21 +30,22 @@
     readonly precedence: number;
 }
 
-/** Tasks to stop on one worker. */
+/** The tasks to stop on one worker. */
 export interface PreemptionPlan {
     readonly worker: WorkerState;
     readonly victims: readonly LeaseId[];
 }
 
 /**
- * Plans the smallest preemption that makes one task fit.
+ * Plans a preemption that makes room for one task. Victims are taken on each worker in ascending
+ * order of precedence; the worker with the fewest victims is selected.
  *
- * @param workers The candidates.
- * @param requirements The placement (one task).
- * @param precedence The asker's precedence; only strictly lower victims are taken.
- * @param listVictims Gives a worker's preemptible tasks (idempotent, preemptible class).
- * @param nowMs The time in ms.
- * @returns The plan, or `undefined` when no preemption would make room.
+ * @param workers The candidate workers.
+ * @param requirements The requirements of the task; `count` is ignored.
+ * @param precedence The precedence of the task; only tasks of lower precedence are stopped.
+ * @param listVictims Returns the tasks on a worker that may be preempted.
+ * @param nowMs The current time in ms.
+ * @returns The plan, or `undefined` when no preemption makes enough room.
  */
 export function planPreemption(
     workers: readonly WorkerState[],
--- a/scheduler/worker_state.ts
+++ b/scheduler/worker_state.ts
@@ -1,11 +1,11 @@
 /**
- * What the cell knows of one worker: its instance, whether it takes work, and what is held on it.
+ * The state that a cell tracks for a worker: availability, reserved resources, slots and leases.
  *
  * @example
  * ```ts
- * import { createWorkerState, getFree } from "./worker_state.ts";
+ * import { createWorkerState, getFreeResources } from "./worker_state.ts";
  * const worker = createWorkerState(instance, executors);
- * console.log(getFree(worker).cores);
+ * console.log(getFreeResources(worker).cores);
  * ```
  *
  * @module
@@ -21,40 +21,44 @@
     type ServiceId,
 } from "../inventory/mod.ts";
 
-/** The cell's view of one worker. */
+/** The state of a worker in a cell. The mutable fields are part of the cell's snapshot. */
 export interface WorkerState {
     readonly instance: Instance;
-    /** Where its agent listens; `undefined` until it announced itself. */
+    /** Address of the worker's agent; `undefined` until the worker announces itself. */
     address: string | undefined;
-    /** The worker process that announced itself last. */
+    /** Id of the worker process that announced itself last; changes with a restart. */
     incarnation: string;
-    /** Heartbeats arrive within the lease time to live. */
+    /** Whether heartbeats arrive in time. */
     alive: boolean;
-    /** Drained by an operator, until undrained: it keeps its tasks and gets no new ones. */
+    /** Drained by an operator: running tasks continue, but no new ones are placed. */
     drained: boolean;
-    /** It announced that it leaves; a new announcement ends that, but not an operator's drain. */
+    /**
+     * Set when the worker announces its shutdown, and reset by its next announcement, which does
+     * not end an operator's drain.
+     */
     leaving: boolean;
-    /** Until this time (ms) it gets no new work: it failed everything it started lately. */
+    /** End of the quarantine in ms. A quarantine follows several failures in a row. */
     quarantinedUntil: number;
+    /** Time of the last heartbeat in ms. */
     lastHeartbeatAt: number;
-    /** Tasks that ended failed in a row on this worker. */
+    /** Number of tasks that failed on this worker since the last one that completed. */
     failuresInARow: number;
-    /** Sum of what its leases hold: per lease the larger of declared and reported usage. */
+    /** Resources reserved by leases; each reserves the larger of declared and reported usage. */
     held: Resources;
-    /** Slots per service on this instance. */
+    /** Total number of slots per service. */
     readonly slots: ReadonlyMap<ServiceId, number>;
-    /** Slots in use per service. */
+    /** Number of slots in use per service. */
     readonly slotsUsed: Map<ServiceId, number>;
-    /** Leases that hold resources here (not ended). */
+    /** Live leases on this worker. */
     readonly leases: Set<LeaseId>;
 }
 
 /**
- * Creates the view of a worker that has not announced itself yet.
+ * Creates the state of a worker that has not announced itself yet.
  *
  * @param instance The worker's instance.
- * @param executors Every executor of the inventory; those on this instance give its slots.
- * @returns The view.
+ * @param executors All executors of the inventory; those on this instance define its slots.
+ * @returns The state.
  */
 export function createWorkerState(instance: Instance, executors: readonly Executor[]): WorkerState {
     const slots = new Map<ServiceId, number>();
@@ -81,32 +85,32 @@
 }
 
 /**
- * Gives what is left on a worker: capacity less what its leases hold.
+ * Returns the capacity of a worker minus the resources that its leases hold.
  *
  * @param worker The worker.
- * @returns Free resources (never below what the capacity allows; may be zero).
+ * @returns The free resources; negative when reported usage exceeds the capacity.
  */
 export function getFreeResources(worker: WorkerState): Resources {
     return removeResources(worker.instance.capacity, worker.held);
 }
 
 /**
- * Gives the free slots of a service on a worker.
+ * Returns the number of free slots of a service on a worker.
  *
  * @param worker The worker.
  * @param service The service.
- * @returns Free slots; 0 where the instance has no executor of the service.
+ * @returns The number of free slots; 0 when the instance has no executor of the service.
  */
 export function getFreeSlots(worker: WorkerState, service: ServiceId): number {
     return (worker.slots.get(service) ?? 0) - (worker.slotsUsed.get(service) ?? 0);
 }
 
 /**
- * Tells whether a worker takes new work now.
+ * Checks whether new tasks may be placed on a worker.
  *
  * @param worker The worker.
- * @param nowMs The time in ms.
- * @returns True when alive, neither drained nor leaving, and not quarantined.
+ * @param nowMs The current time in ms.
+ * @returns True when the worker is alive and neither drained, leaving nor quarantined.
  */
 export function isSchedulable(worker: WorkerState, nowMs: number): boolean {
     return worker.alive && !worker.drained && !worker.leaving && worker.quarantinedUntil <= nowMs;
