--- a/reference/differential_test.ts
+++ b/reference/differential_test.ts
@@ -34,7 +34,7 @@
     }),
 );
 
-test("the cell keeps every invariant over random request streams and worker faults", (t) => {
+test("the cell maintains its invariants under random requests and worker faults", (t) => {
     // Guards against overcommitment, duplicate live leases, second starts of at-most-once tasks,
     // false "did not run" results, and live leases of requests in a final state.
     fc.assert(
@@ -107,7 +107,7 @@
     t.pass();
 });
 
-test("the cell and the naive reference agree on what can never run, and neither overcommits", (t) => {
+test("the cell refuses the same requests as the reference scheduler and does not overcommit", (t) => {
     // Requests are refused when no rule names their kind or when they fit on no instance.
     fc.assert(
         fc.property(
