--- a/control/_fixtures.ts
+++ b/control/_fixtures.ts
@@ -277,9 +277,9 @@
  * @throws {Error} After 15 s.
  */
 export async function waitUntil(isMet: () => boolean | Promise<boolean>): Promise<void> {
-    const deadline = performance.now() + 15_000;
+    const deadlineMs = performance.now() + 15_000;
     while (!(await isMet())) {
-        if (performance.now() > deadline) {
+        if (performance.now() > deadlineMs) {
             throw new Error("condition not met within 15 s");
         }
         await new Promise((resolve) => setTimeout(resolve, CONDITION_POLL_INTERVAL_MS));
@@ -287,11 +287,11 @@
 }
 
 async function waitForEnd(worker: TaskWorker, order: PollOrder): Promise<PollAnswer> {
-    const deadline = performance.now() + order.waitMs;
+    const deadlineMs = performance.now() + order.waitMs;
     for (;;) {
         const answer = worker.poll(order);
         const hasEnds = answer.type === "state" && answer.ended.length > 0;
-        if (hasEnds || performance.now() >= deadline) {
+        if (hasEnds || performance.now() >= deadlineMs) {
             return answer;
         }
         await new Promise((resolve) => setTimeout(resolve, WORKER_POLL_INTERVAL_MS));
--- a/control/busy_leader_test.ts
+++ b/control/busy_leader_test.ts
@@ -11,7 +11,7 @@
 /** The lease (1.6 s) can expire 0.35 s before the leader resigns without answers from a quorum. */
 const TIMINGS: ConsensusTimings = { heartbeatMs: 80, electionMs: 2_000 };
 const BLOCKED_MS = 1_650;
-const LEASE_LAPSE_MS = 150;
+const LEASE_RENEWAL_DELAY_MS = 150;
 const JOB = "00000000000000a1";
 
 function buildSubmit(): CallerCall {
@@ -76,16 +76,16 @@
 
 test("orders are sent after lease renewal and no worker is reported as failed", async (t) => {
     // Guards against unsent orders counting as unanswered by healthy workers.
-    let isLapsed = true;
+    let isLeaseExpired = true;
     const orders: string[] = [];
     const workerFailures: string[] = [];
     const { leadership, sink } = buildLeadership({
         waitForLease: async () => {
-            await new Promise((resolve) => setTimeout(resolve, LEASE_LAPSE_MS));
-            isLapsed = false;
+            await new Promise((resolve) => setTimeout(resolve, LEASE_RENEWAL_DELAY_MS));
+            isLeaseExpired = false;
             return true;
         },
-        onStart: (task) => orders.push(`${task} ${isLapsed ? "lapsed" : "serving"}`),
+        onStart: (task) => orders.push(`${task} ${isLeaseExpired ? "lapsed" : "serving"}`),
         onLogLines: (line) =>
             workerFailures.push(...(line.match(/worker silent|start unanswered/g) ?? [])),
     });
@@ -108,6 +108,6 @@
     t.teardown(() => leadership.stop());
     leadership.start();
     await leadership.handleCaller(buildSubmit());
-    await new Promise((resolve) => setTimeout(resolve, LEASE_LAPSE_MS));
+    await new Promise((resolve) => setTimeout(resolve, LEASE_RENEWAL_DELAY_MS));
     t.deepEqual(orders, []);
 });
--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -134,7 +134,7 @@
     #helloSubscription: Subscription | undefined;
     #leaderPublicAddress: string | undefined;
     /** Counts calls and orders that arrived while the leader lease had expired. */
-    readonly #leaseLapses = new RateLimitedLog((fields) =>
+    readonly #expiredLeaseLog = new RateLimitedLog((fields) =>
         this.#options.log.warn("calls arrived after leader lease expired", fields),
     );
 
@@ -222,8 +222,9 @@
             dataDir,
             timings: this.#options.timings ?? selectTimings(this.#options.toleratedFailures),
             listPeers: () => this.#router.listMembers() as EntryId[],
-            startedAt: this.#options.processStartedAtMs,
-            snapshotEvery: this.#options.batchesPerSnapshot ?? DEFAULT_BATCHES_PER_SNAPSHOT,
+            processStartedAtMs: this.#options.processStartedAtMs,
+            snapshotIntervalEntries:
+                this.#options.batchesPerSnapshot ?? DEFAULT_BATCHES_PER_SNAPSHOT,
             onLeadershipGained: () => this.#startLeading(),
             onLeadershipLost: (cause) => this.#stopLeading(cause),
             log: this.#options.log,
@@ -426,8 +427,8 @@
             return this.isServing;
         }
         this.#options.metrics?.expiredLeaseCalls.inc();
-        this.#leaseLapses.add();
-        await this.#member?.waitServing();
+        this.#expiredLeaseLog.add();
+        await this.#member?.waitForLease();
         return this.isServing;
     }
 
--- a/control/state_reader.ts
+++ b/control/state_reader.ts
@@ -36,16 +36,16 @@
 
 /** Reads job states from one replica. */
 export class StateReader {
-    readonly #ledger: StateStore;
+    readonly #store: StateStore;
     readonly #maxWaitMs: number;
     readonly #pendingReads = new Set<PendingRead>();
 
     /**
-     * @param ledger The replica.
+     * @param store The replica.
      * @param options The maximum wait.
      */
-    constructor(ledger: StateStore, options: StateReaderOptions = {}) {
-        this.#ledger = ledger;
+    constructor(store: StateStore, options: StateReaderOptions = {}) {
+        this.#store = store;
         this.#maxWaitMs = options.maxWaitMs ?? DEFAULT_MAX_WAIT_MS;
     }
 
@@ -56,11 +56,11 @@
      * @returns The answer, or `undefined` if the replica doesn't know the job.
      */
     async readState(id: JobId): Promise<CallerAnswer | undefined> {
-        const job = this.#ledger.jobs.get(id);
+        const job = this.#store.jobs.get(id);
         if (job !== undefined && isAboutToEnd(job) && this.#pendingReads.size < MAX_WAITING_READS) {
             await this.#waitForEnd(id);
         }
-        const known = this.#ledger.jobs.get(id);
+        const known = this.#store.jobs.get(id);
         return known === undefined ? undefined : { type: "state", state: known.state };
     }
 
@@ -70,7 +70,7 @@
      */
     resolveEndedJobs(): void {
         for (const pendingRead of this.#pendingReads) {
-            if (this.#ledger.jobs.get(pendingRead.job)?.endedAt !== undefined) {
+            if (this.#store.jobs.get(pendingRead.job)?.endedAt !== undefined) {
                 pendingRead.finish();
             }
         }
--- a/control/state_reader_test.ts
+++ b/control/state_reader_test.ts
@@ -6,22 +6,22 @@
 const JOB = "00000000000000a1" as JobId;
 const MAX_WAIT_MS = 300;
 
-function buildRunningJob(spec: JobSpec): { ledger: StateStore; reader: StateReader } {
-    const ledger = new StateStore();
+function buildRunningJob(spec: JobSpec): { store: StateStore; reader: StateReader } {
+    const store = new StateStore();
     const unit = { job: JOB, occurrence: 0, step: 0, unit: 0 };
     const members = [[0, "w1" as WorkerId]] as const;
-    applyFact(ledger, { type: "jobAccepted", job: JOB, queue: QUEUE, pool: POOL, spec });
-    applyFact(ledger, { type: "attemptStarted", unit, attempt: 1, members });
-    return { ledger, reader: new StateReader(ledger, { maxWaitMs: MAX_WAIT_MS }) };
+    applyFact(store, { type: "jobAccepted", job: JOB, queue: QUEUE, pool: POOL, spec });
+    applyFact(store, { type: "attemptStarted", unit, attempt: 1, members });
+    return { store, reader: new StateReader(store, { maxWaitMs: MAX_WAIT_MS }) };
 }
 
-function applyFact(ledger: StateStore, fact: Fact): void {
-    ledger.apply({ at: 0, facts: [fact] });
+function applyFact(store: StateStore, fact: Fact): void {
+    store.apply({ at: 0, facts: [fact] });
 }
 
-function endTask(ledger: StateStore): void {
+function endTask(store: StateStore): void {
     const unit = { job: JOB, occurrence: 0, step: 0, unit: 0 };
-    applyFact(ledger, {
+    applyFact(store, {
         type: "memberEnded",
         unit,
         attempt: 1,
@@ -33,15 +33,15 @@
 
 test("a read shortly before the end of a job returns the final state", async (t) => {
     // Guards against a stale `running` that makes the caller ask again after a pause.
-    const { ledger, reader } = buildRunningJob(buildSpec({}));
-    const startedAt = performance.now();
+    const { store, reader } = buildRunningJob(buildSpec({}));
+    const startedAtMs = performance.now();
     const answer = reader.readState(JOB);
     setTimeout(() => {
-        endTask(ledger);
+        endTask(store);
         reader.resolveEndedJobs();
     }, 40);
     t.deepEqual(await answer, { type: "state", state: "complete" });
-    t.true(performance.now() - startedAt < MAX_WAIT_MS);
+    t.true(performance.now() - startedAtMs < MAX_WAIT_MS);
 });
 
 test("a read of a job that keeps running returns after the maximum wait", async (t) => {
@@ -50,12 +50,12 @@
 });
 
 test("reads of perpetual, ended and unknown jobs return without waiting", async (t) => {
-    const startedAt = performance.now();
+    const startedAtMs = performance.now();
     const perpetual = buildRunningJob(buildSpec({ isPerpetual: true }));
     t.deepEqual(await perpetual.reader.readState(JOB), { type: "state", state: "running" });
-    const { ledger, reader } = buildRunningJob(buildSpec({}));
-    endTask(ledger);
+    const { store, reader } = buildRunningJob(buildSpec({}));
+    endTask(store);
     t.deepEqual(await reader.readState(JOB), { type: "state", state: "complete" });
     t.is(await reader.readState("00000000000000b2" as JobId), undefined);
-    t.true(performance.now() - startedAt < MAX_WAIT_MS);
+    t.true(performance.now() - startedAtMs < MAX_WAIT_MS);
 });
--- a/control/timings_test.ts
+++ b/control/timings_test.ts
@@ -12,7 +12,10 @@
 
 test("the failover timeout exceeds the election timeout", (t) => {
     // Guards against callers that retry in a loop while a new leader is busy.
-    [1, 2, 3].forEach((tolerated) =>
-        t.true(selectFailoverTimeoutMs(tolerated) > selectTimings(tolerated).electionMs),
+    [1, 2, 3].forEach((toleratedFailures) =>
+        t.true(
+            selectFailoverTimeoutMs(toleratedFailures) >
+                selectTimings(toleratedFailures).electionMs,
+        ),
     );
 });
--- a/entry/call_router.ts
+++ b/entry/call_router.ts
@@ -21,7 +21,7 @@
 /** The view of a local group member that the router uses. */
 export interface LocalMember {
     /** Waits until this member holds the leader lease; false if it is not the leader. */
-    readonly waitServing: () => Promise<boolean>;
+    readonly waitForLease: () => Promise<boolean>;
     readonly leader: EntryId | undefined;
 }
 
@@ -68,7 +68,7 @@
      * @throws {MethodError} The leader's error, or that no leader is reachable.
      */
     async route(group: GroupLayout, method: string, params: unknown): Promise<unknown> {
-        const isServing = await this.#options.getMember(group.id)?.waitServing();
+        const isServing = await this.#options.getMember(group.id)?.waitForLease();
         if (isServing === true) {
             return this.#options.runLocal(group.id, method, params);
         }
@@ -105,7 +105,7 @@
      */
     async runForwarded(call: ForwardedCall): Promise<unknown> {
         const member = this.#options.getMember(call.group);
-        const isServing = await member?.waitServing();
+        const isServing = await member?.waitForLease();
         if (isServing !== true) {
             throw createNoLeaderError(call.group, "not_accepted", member?.leader);
         }
--- a/entry/call_router_test.ts
+++ b/entry/call_router_test.ts
@@ -9,12 +9,12 @@
 const LAYOUT: GroupLayout = { id: GROUP, zones: [], voters: [SELF], learners: [], quotaShare: 1 };
 
 /** Builds a router on the group's only voter, without any reachable peer. */
-function buildRouter(waitServing: () => Promise<boolean>): CallRouter {
+function buildRouter(waitForLease: () => Promise<boolean>): CallRouter {
     return new CallRouter({
         self: SELF,
         network: { getClient: () => undefined } as unknown as PeerNetwork,
         gossip: { findLeader: () => SELF, getStatus: () => "up" } as unknown as Gossip,
-        getMember: () => ({ waitServing, leader: SELF }),
+        getMember: () => ({ waitForLease, leader: SELF }),
         runLocal: (_group, method) => Promise.resolve(`${method} done`),
     });
 }
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -125,7 +125,7 @@
         this.#gossip = new Gossip({
             self: this.#self,
             members: deployment.members.map((m) => m.id),
-            startedAt: Date.now(),
+            startedAtMs: Date.now(),
             random: Math.random,
         });
         const memberOptions = {
@@ -138,7 +138,7 @@
             dataDir: options.dataDir,
             timings: deployment.timings,
             batchWindowMs: options.syncWindowMs,
-            snapshotEvery: options.snapshotEvery,
+            snapshotIntervalEntries: options.snapshotEvery,
             log: this.#log,
         };
         this.#config = new ConfigGroup({
--- a/entry/worker_api.ts
+++ b/entry/worker_api.ts
@@ -121,7 +121,7 @@
 
     async #runAsLeader<T>(group: GroupLayout, run: (zone: ZoneGroup) => Promise<T>): Promise<T> {
         const zone = this.#options.getZone(group.id);
-        const isServing = await zone?.member.waitServing();
+        const isServing = await zone?.member.waitForLease();
         if (zone === undefined || isServing !== true) {
             const leader = zone?.member.leader ?? this.#options.findLeader(group.id);
             throw createNotLeaderError(group.id, leader);
--- a/entry/zone_group.ts
+++ b/entry/zone_group.ts
@@ -152,7 +152,7 @@
                 encode: () => this.cell.encode(),
                 restore: (state) => this.cell.restore(state),
             },
-            completeBatch: (inputs) => this.#createBatchTick(inputs),
+            createExtraCommands: (inputs) => this.#createBatchTick(inputs),
             onApplied: () => this.#handleEffects(this.cell.takeEffects()),
             onLeadershipGained: () => this.#startLeading(),
             onLeadershipLost: () => this.#stopLeading(),
--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -47,7 +47,7 @@
     startRpcServer,
     type RpcServer,
 } from "../rpc/mod.ts";
-import { LEADER_SILENCE_MS, LeaderReachability } from "./leader_reachability.ts";
+import { LEADER_TIMEOUT_MS, LeaderReachability } from "./leader_reachability.ts";
 
 /** Options of {@link FrontDaemon}. */
 export interface FrontDaemonOptions {
@@ -57,7 +57,7 @@
     /** Returns the RPC addresses of some control instances. */
     readonly listSeeds: () => readonly string[];
     /** Number of control instances that may fail at once; 1 by default. */
-    readonly tolerated?: number;
+    readonly toleratedFailures?: number;
     readonly adviceCalls: AdviceCalls;
     readonly metrics?: ControlMetrics;
     readonly log: Logger;
@@ -79,7 +79,7 @@
  * Longest time without an answer from the leader for which the front reports ready, in ms. Covers
  * an election; a longer value delays the load balancer's failover to other zones.
  */
-const MAX_READY_SILENCE_MS = 600;
+const READINESS_TIMEOUT_MS = 600;
 /**
  * Timeout of a call on an isolated front, in ms; short, so that the caller has time left to retry
  * on another front.
@@ -89,7 +89,7 @@
  * Time from the leader's last answer until the load balancer has moved callers to another zone, in
  * ms: every front of the zone must first fail two checks, one second apart.
  */
-const BALANCER_FAILOVER_MS = MAX_READY_SILENCE_MS + 2_700;
+const BALANCER_FAILOVER_MS = READINESS_TIMEOUT_MS + 2_700;
 /**
  * `Retry-After` of an isolated front before the load balancer has moved its callers, in ms. Spaces
  * the retries out so that a caller does not use all of them on the same front.
@@ -139,7 +139,7 @@
         this.#options = options;
         this.#router = new LeaderRouter({
             listSeeds: options.listSeeds,
-            inactivityTimeoutMs: selectFailoverTimeoutMs(options.tolerated ?? 1),
+            inactivityTimeoutMs: selectFailoverTimeoutMs(options.toleratedFailures ?? 1),
         });
         this.#reachability = new LeaderReachability({
             zone: options.zone,
@@ -156,7 +156,7 @@
     /** Whether the load balancer should send new callers to this front. */
     get isReady(): boolean {
         const isServing =
-            this.#reachability.leaderSilentMs < MAX_READY_SILENCE_MS ||
+            this.#reachability.sinceLeaderAnswerMs < READINESS_TIMEOUT_MS ||
             this.#reachability.state.type === "relay";
         return !this.#isDraining && isServing;
     }
@@ -165,7 +165,7 @@
      * Whether this front is isolated while others can serve. Idle keep-alive connections should
      * then be closed, because the load balancer redirects new connections only.
      */
-    get isCutOff(): boolean {
+    get isIsolated(): boolean {
         return this.#reachability.state.type === "isolated";
     }
 
@@ -232,7 +232,7 @@
         if (replicaAnswer !== undefined) {
             return replicaAnswer;
         }
-        let mayHaveHappened = false;
+        let mayHaveExecuted = false;
         do {
             const remainingMs = budgetMs - (performance.now() - startedAtMs);
             const { state } = this.#reachability;
@@ -241,15 +241,15 @@
                     ? await this.#sendRelay(state.address, call, remainingMs)
                     : await this.#callLeader(call, remainingMs);
             } catch (error) {
-                mayHaveHappened = this.#handleCallFailure(call, error as Error) || mayHaveHappened;
+                mayHaveExecuted = this.#handleCallFailure(call, error as Error) || mayHaveExecuted;
             }
             // Retries if a relay has become available meanwhile; calls are idempotent.
         } while (
             this.#reachability.state.type === "relay" &&
             performance.now() - startedAtMs < budgetMs - RELAY_BACKOFF_MS
         );
-        const retryAfterMs = this.isCutOff ? this.#computeRetryAfterMs() : DEFAULT_RETRY_AFTER_MS;
-        return { type: mayHaveHappened ? "unknown" : "unreached", retryAfterMs };
+        const retryAfterMs = this.isIsolated ? this.#computeRetryAfterMs() : DEFAULT_RETRY_AFTER_MS;
+        return { type: mayHaveExecuted ? "unknown" : "unreached", retryAfterMs };
     }
 
     async #callLeader(call: CallerCall, budgetMs: number): Promise<CallerAnswer> {
@@ -261,7 +261,7 @@
         };
         const answer = await this.#router.call<CallerAnswer>(METHODS.callers, call, budget);
         // A late answer does not show that the leader can be reached now.
-        if (performance.now() - startedAtMs < LEADER_SILENCE_MS) {
+        if (performance.now() - startedAtMs < LEADER_TIMEOUT_MS) {
             this.#reachability.recordLeaderAnswer();
         }
         return answer;
@@ -283,19 +283,19 @@
 
     /** @returns Whether the call may have been executed nevertheless. */
     #handleCallFailure(call: CallerCall, error: Error): boolean {
-        const mayHaveHappened =
+        const mayHaveExecuted =
             error instanceof NoLeaderError
                 ? error.mayHaveExecuted
                 : !(error instanceof RpcError && (error.isUndelivered || isNotLeaderError(error)));
         this.#options.log.warn("no leader for a call", {
             path: call.path,
             call: call.type,
-            mayHaveHappened,
+            mayHaveHappened: mayHaveExecuted,
             reach: this.#reachability.state.type,
-            silentMs: Math.round(this.#reachability.leaderSilentMs),
+            silentMs: Math.round(this.#reachability.sinceLeaderAnswerMs),
             error: error.message,
         });
-        return mayHaveHappened;
+        return mayHaveExecuted;
     }
 
     /** Forwards a call for a front that cannot reach the leader; it is not relayed further. */
@@ -315,7 +315,7 @@
         if (await this.#reachability.update()) {
             this.#options.log.warn("leader reachability changed", {
                 reach: this.#reachability.state,
-                silentMs: Math.round(this.#reachability.leaderSilentMs),
+                silentMs: Math.round(this.#reachability.sinceLeaderAnswerMs),
             });
         }
     }
@@ -356,7 +356,7 @@
 
     /** Whether the load balancer routes a retry to another front by now. */
     get #hasBalancerFailedOver(): boolean {
-        return this.#reachability.leaderSilentMs > BALANCER_FAILOVER_MS;
+        return this.#reachability.sinceLeaderAnswerMs > BALANCER_FAILOVER_MS;
     }
 
     #computeRetryAfterMs(): number {
@@ -364,7 +364,7 @@
     }
 
     #describeReachability(): ReachabilityAnswer {
-        const { hearsLeader } = this.#reachability;
+        const { reachesLeader: hearsLeader } = this.#reachability;
         return hearsLeader && this.#leaderAddress !== ""
             ? { hearsLeader, leader: this.#leaderAddress }
             : { hearsLeader };
--- a/front/daemon_test.ts
+++ b/front/daemon_test.ts
@@ -115,12 +115,12 @@
         type: "cancelled",
     });
     await wait(ISOLATION_DETECTION_MS);
-    const startedAt = performance.now();
+    const startedAtMs = performance.now();
     t.deepEqual(await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS), {
         type: "cancelled",
     });
     // Once the partition is detected, no time is spent on direct attempts.
-    t.true(performance.now() - startedAt < 300);
+    t.true(performance.now() - startedAtMs < 300);
     t.true(fixture.front.isReady);
     t.is(fixture.countCalls(), 3);
 });
@@ -141,10 +141,10 @@
     fixture.faultRelay.close();
     await fixture.otherFront.stop();
     await wait(ISOLATION_DETECTION_MS);
-    const startedAt = performance.now();
+    const startedAtMs = performance.now();
     const answer = await fixture.front.handleCaller(CANCEL_CALL, CALL_TIMEOUT_MS);
     t.is(answer.type, "unreached");
-    t.true(performance.now() - startedAt < 700);
+    t.true(performance.now() - startedAtMs < 700);
     t.false(fixture.front.isReady);
     // Before the load balancer has moved the caller, an immediate retry would return to this front.
     t.is(answer.type === "unreached" ? answer.retryAfterMs : undefined, 1_000);
@@ -158,11 +158,11 @@
     const fixture = await startFronts(t, false);
     fixture.faultRelay.setMode("refuse");
     await wait(ISOLATION_DETECTION_MS);
-    const startedAt = performance.now();
+    const startedAtMs = performance.now();
     const count: CallerCall = { type: "state", host: "studio.example", path: "/p/" };
     const answer = await fixture.front.handleCaller(count, CALL_TIMEOUT_MS);
     t.true(answer.type === "unreached" || answer.type === "unknown");
-    t.true(performance.now() - startedAt < 700);
+    t.true(performance.now() - startedAtMs < 700);
     const state: CallerCall = { ...count, path: "/p/00000000000000a1" };
     const held = fixture.front.handleCaller(state, CALL_TIMEOUT_MS);
     await wait(600);
--- a/front/leader_reachability.ts
+++ b/front/leader_reachability.ts
@@ -35,7 +35,7 @@
 export interface PeerAnswer {
     readonly peer: PeerFront;
     /** Whether the peer reaches the leader; `undefined` if the peer did not answer. */
-    readonly hearsLeader: boolean | undefined;
+    readonly reachesLeader: boolean | undefined;
     /** The address of the leader that the peer reaches, if given. */
     readonly leader?: string | undefined;
 }
@@ -56,7 +56,7 @@
  * Time without an answer from the leader after which the peers are probed, in ms. Longer than the
  * interval of `hello` calls (400 ms) plus a busy leader's response time.
  */
-export const LEADER_SILENCE_MS = 600;
+export const LEADER_TIMEOUT_MS = 600;
 
 /** Minimum interval between two rounds of probes, in ms; limits their load during an outage. */
 const PROBE_INTERVAL_MS = 400;
@@ -82,16 +82,16 @@
 
     /** How the leader can be reached now. */
     get state(): ReachabilityState {
-        return this.hearsLeader ? { type: "direct" } : this.#probedState;
+        return this.reachesLeader ? { type: "direct" } : this.#probedState;
     }
 
     /** Whether the leader answered this front recently. */
-    get hearsLeader(): boolean {
-        return this.leaderSilentMs < LEADER_SILENCE_MS;
+    get reachesLeader(): boolean {
+        return this.sinceLeaderAnswerMs < LEADER_TIMEOUT_MS;
     }
 
     /** Time since the leader's last answer, in ms. */
-    get leaderSilentMs(): number {
+    get sinceLeaderAnswerMs(): number {
         return this.#getNow() - this.#leaderAnsweredAtMs;
     }
 
@@ -118,7 +118,7 @@
      */
     async update(): Promise<boolean> {
         const nowMs = this.#getNow();
-        if (this.hearsLeader || this.#isProbing || nowMs - this.#probedAtMs < PROBE_INTERVAL_MS) {
+        if (this.reachesLeader || this.#isProbing || nowMs - this.#probedAtMs < PROBE_INTERVAL_MS) {
             return false;
         }
         this.#isProbing = true;
@@ -136,7 +136,7 @@
      */
     async #resolveState(answers: readonly PeerAnswer[]): Promise<ProbedState> {
         const classified = classifyAnswers(answers, this.#options.zone);
-        const leader = answers.find(({ hearsLeader }) => hearsLeader === true)?.leader;
+        const leader = answers.find(({ reachesLeader }) => reachesLeader === true)?.leader;
         if (classified.type !== "relay" || leader === undefined) {
             return classified;
         }
@@ -150,7 +150,7 @@
 
     async #probePeer(peer: PeerFront): Promise<PeerAnswer> {
         const answer = await this.#options.probe(peer.address).catch(() => undefined);
-        return { peer, hearsLeader: answer?.hearsLeader, leader: answer?.leader };
+        return { peer, reachesLeader: answer?.hearsLeader, leader: answer?.leader };
     }
 }
 
@@ -163,12 +163,12 @@
  * @returns How the leader can be reached.
  */
 export function classifyAnswers(answers: readonly PeerAnswer[], zone: string): ProbedState {
-    const relayAnswer = answers.find(({ hearsLeader }) => hearsLeader === true);
+    const relayAnswer = answers.find(({ reachesLeader }) => reachesLeader === true);
     if (relayAnswer !== undefined) {
         return { type: "relay", address: relayAnswer.peer.address };
     }
     const otherZoneAnswers = answers.filter(({ peer }) => peer.zone !== zone);
     const decisiveAnswers = otherZoneAnswers.length > 0 ? otherZoneAnswers : answers;
-    const isSilent = decisiveAnswers.every(({ hearsLeader }) => hearsLeader === undefined);
-    return decisiveAnswers.length > 0 && isSilent ? { type: "isolated" } : { type: "outage" };
+    const isUnanswered = decisiveAnswers.every(({ reachesLeader }) => reachesLeader === undefined);
+    return decisiveAnswers.length > 0 && isUnanswered ? { type: "isolated" } : { type: "outage" };
 }
--- a/front/leader_reachability_test.ts
+++ b/front/leader_reachability_test.ts
@@ -2,15 +2,15 @@
 import type { PeerFront } from "../control/calls.ts";
 import {
     classifyAnswers,
-    LEADER_SILENCE_MS,
+    LEADER_TIMEOUT_MS,
     LeaderReachability,
     type PeerAnswer,
 } from "./leader_reachability.ts";
 
 const ZONE = "a";
 
-function buildAnswer(zone: string, hearsLeader: boolean | undefined): PeerAnswer {
-    return { peer: buildPeer(zone), hearsLeader };
+function buildAnswer(zone: string, reachesLeader: boolean | undefined): PeerAnswer {
+    return { peer: buildPeer(zone), reachesLeader };
 }
 
 function buildPeer(zone: string): PeerFront {
@@ -53,12 +53,12 @@
     reachability.recordLeaderAnswer();
     t.false(await reachability.update());
     t.is(probes, 0);
-    now += LEADER_SILENCE_MS;
+    now += LEADER_TIMEOUT_MS;
     t.true(await reachability.update());
     t.deepEqual(reachability.state, { type: "relay", address: "front-b:1" });
     reachability.recordLeaderAnswer();
     t.deepEqual(reachability.state, { type: "direct" });
-    now += LEADER_SILENCE_MS;
+    now += LEADER_TIMEOUT_MS;
     // The result of an earlier probe is not reused.
     t.deepEqual(reachability.state, { type: "outage" });
 });
--- a/group/group_member.ts
+++ b/group/group_member.ts
@@ -40,10 +40,10 @@
     /** Returns the instances to ask for a log subscription; the configured voters by default. */
     readonly listPeers?: () => readonly EntryId[];
     /** Start time of this process on the monotonic clock, in ms, if known. */
-    readonly startedAt?: number;
+    readonly processStartedAtMs?: number;
     readonly batchWindowMs?: number;
-    readonly snapshotEvery?: number;
-    readonly completeBatch?: (commands: readonly C[]) => readonly C[];
+    readonly snapshotIntervalEntries?: number;
+    readonly createExtraCommands?: (commands: readonly C[]) => readonly C[];
     readonly log: Logger;
 }
 
@@ -124,9 +124,9 @@
         return this.#replica.isServing;
     }
 
-    /** See {@link Replica.waitServing}. */
-    waitServing(): Promise<boolean> {
-        return this.#replica.waitServing();
+    /** See {@link Replica.waitForLease}. */
+    waitForLease(): Promise<boolean> {
+        return this.#replica.waitForLease();
     }
 
     /** Time of the last message from a leader on the monotonic clock, in ms. */
--- a/job/state_store.ts
+++ b/job/state_store.ts
@@ -183,7 +183,7 @@
         this.lastReportClocksMs.clear();
         state.reports?.forEach(([id, clockMs]) => this.lastReportClocksMs.set(id, clockMs));
         this.attemptsOnExpiredLeases.clear();
-        state.lapses?.forEach(([id, under]) => this.attemptsOnExpiredLeases.set(id, under));
+        state.lapses?.forEach(([id, attempts]) => this.attemptsOnExpiredLeases.set(id, attempts));
         this.#removedWorkers.clear();
         state.gone.forEach((id) => this.#removedWorkers.add(id));
         this.jobs.clear();
@@ -210,8 +210,8 @@
         this.queues.forEach((queue, name) => copy.queues.set(name, queue));
         this.workers.forEach((worker, id) => copy.workers.set(id, worker));
         this.lastReportClocksMs.forEach((clockMs, id) => copy.lastReportClocksMs.set(id, clockMs));
-        this.attemptsOnExpiredLeases.forEach((under, id) =>
-            copy.attemptsOnExpiredLeases.set(id, under),
+        this.attemptsOnExpiredLeases.forEach((attempts, id) =>
+            copy.attemptsOnExpiredLeases.set(id, attempts),
         );
         this.#removedWorkers.forEach((id) => copy.#removedWorkers.add(id));
         this.jobs.forEach((job, id) => copy.jobs.set(id, isImmutable(job) ? job : copyJob(job)));
--- a/job/state_store_test.ts
+++ b/job/state_store_test.ts
@@ -189,11 +189,11 @@
         }
     }
     store.apply({ at: 1, facts });
-    const startedAt = performance.now();
+    const startedAtMs = performance.now();
     new StateStore().restore(store.encode());
-    const encodedMs = performance.now() - startedAt;
+    const encodedMs = performance.now() - startedAtMs;
     t.is(store.copy().jobs.size, 5_000);
-    const copyMs = performance.now() - startedAt - encodedMs;
+    const copyMs = performance.now() - startedAtMs - encodedMs;
     t.true(
         3 * copyMs < encodedMs,
         `copying took ${copyMs} ms, encoding and restoring ${encodedMs} ms`,
--- a/log/consensus.ts
+++ b/log/consensus.ts
@@ -81,7 +81,7 @@
     /** The current time on a monotonic clock, in ms. */
     readonly now: number;
     /** Start time of this process on the same clock, in ms; `now` by default. */
-    readonly startedAtMs?: number;
+    readonly processStartedAtMs?: number;
 }
 
 /** Work for the caller: messages to send and state to persist or install. */
@@ -154,7 +154,7 @@
         // Before its restart this member may have renewed a leader's lease. It refuses votes until
         // that lease has expired, counted from the process start to keep an outage short.
         if (hardState.term > 0) {
-            this.#lastLeaderContactMs = options.startedAtMs ?? options.now;
+            this.#lastLeaderContactMs = options.processStartedAtMs ?? options.now;
         }
         this.#updateVoters();
         this.#setElectionDeadline();
@@ -505,12 +505,12 @@
     }
 
     #tickLeader(now: number): void {
-        const quorumSilenceMs = now - this.#followers.computeQuorumAckTimeMs(this.#voters, now);
+        const sinceQuorumAckMs = now - this.#followers.computeQuorumAckTimeMs(this.#voters, now);
         // The target may still campaign on a late request, so the lease cannot be renewed: step
         // down and let a regular election follow.
         const isTransferOverdue = now - (this.#transferStartMs ?? now) > this.#timings.electionMs;
         const hasLostQuorum =
-            quorumSilenceMs > this.#timings.electionMs &&
+            sinceQuorumAckMs > this.#timings.electionMs &&
             now - this.#quorumWaitStartMs > this.#timings.electionMs;
         if (isTransferOverdue || hasLostQuorum) {
             this.#resign(isTransferOverdue ? "transfer" : "lose_quorum");
--- a/log/consensus_test.ts
+++ b/log/consensus_test.ts
@@ -299,14 +299,14 @@
         snapshot: undefined,
         entries: [],
     };
-    const createNode = (startedAt: number): Consensus =>
+    const createNode = (processStartedAtMs: number): Consensus =>
         new Consensus({
             self: "m1.0" as MemberId,
             stored,
             initialVoters: voters,
             random: () => 0,
             now: 10_000,
-            startedAtMs: startedAt,
+            processStartedAtMs,
         });
     const requestVote = (node: Consensus): boolean => {
         const message = {
--- a/log/replica.ts
+++ b/log/replica.ts
@@ -89,14 +89,14 @@
     /** Time in which proposed commands are batched into one entry, in ms. */
     readonly batchWindowMs?: number;
     /** Returns commands to append to a batch before it is proposed. */
-    readonly completeBatch?: (commands: readonly C[]) => readonly C[];
+    readonly createExtraCommands?: (commands: readonly C[]) => readonly C[];
     /** Number of entries between snapshots. */
-    readonly snapshotEvery?: number;
+    readonly snapshotIntervalEntries?: number;
     readonly random?: () => number;
     /** Returns the time of a monotonic clock, in ms. */
     readonly getNow?: () => number;
     /** Start time of this process on that clock, in ms, if known. */
-    readonly startedAt?: number;
+    readonly processStartedAtMs?: number;
 }
 
 /** Thrown when a command was not proposed because this member is not the leader. */
@@ -170,7 +170,7 @@
             timings: options.timings ?? DEFAULT_TIMINGS,
             random: options.random ?? Math.random,
             now: this.#getNow(),
-            startedAtMs: options.startedAt,
+            processStartedAtMs: options.processStartedAtMs,
         });
         if (stored.snapshot !== undefined) {
             options.machine.restore(stored.snapshot.state);
@@ -268,7 +268,7 @@
      *
      * @returns Whether this member is the leader with a valid lease.
      */
-    async waitServing(): Promise<boolean> {
+    async waitForLease(): Promise<boolean> {
         const canRegainLease =
             this.#isLeadershipEstablished &&
             !this.#isStopped &&
@@ -404,7 +404,7 @@
             return;
         }
         const commands = proposals.map((p) => p.command);
-        const extraCommands = this.#options.completeBatch?.(commands) ?? [];
+        const extraCommands = this.#options.createExtraCommands?.(commands) ?? [];
         const index = this.#consensus.propose([...commands, ...extraCommands], this.#getNow());
         if (index === undefined) {
             const error = new NotLeaderError(this.#consensus.leader);
@@ -559,7 +559,8 @@
     }
 
     async #takeSnapshotIfDue(): Promise<void> {
-        const intervalEntries = this.#options.snapshotEvery ?? DEFAULT_SNAPSHOT_INTERVAL_ENTRIES;
+        const intervalEntries =
+            this.#options.snapshotIntervalEntries ?? DEFAULT_SNAPSHOT_INTERVAL_ENTRIES;
         if (this.#appliedIndex - this.#snapshotIndex < intervalEntries) {
             return;
         }
--- a/membership/gossip.ts
+++ b/membership/gossip.ts
@@ -41,7 +41,7 @@
     readonly self: EntryId;
     readonly members: readonly EntryId[];
     /** Start time of this process in ms since the Unix epoch. */
-    readonly startedAt: number;
+    readonly startedAtMs: number;
     readonly random: () => number;
     /** Number of peers contacted per round. */
     readonly fanout?: number;
@@ -187,7 +187,7 @@
     #createLocalEntry(): GossipEntry {
         return {
             id: this.#options.self,
-            startedAt: this.#options.startedAt,
+            startedAt: this.#options.startedAtMs,
             counter: this.#counter,
             leads: this.#leadershipClaims,
             stopping: this.#isStopping,
--- a/membership/leader_router.ts
+++ b/membership/leader_router.ts
@@ -137,19 +137,19 @@
             typeof budget === "number"
                 ? { computeUndeliveredMs: () => budget, computeDeliveredMs: () => budget }
                 : budget;
-        const startedAt = this.#getNow();
+        const startedAtMs = this.#getNow();
         let mayHaveExecuted = false;
         for (;;) {
             const budgetMs = mayHaveExecuted ? computeDeliveredMs() : computeUndeliveredMs();
-            const deadline = startedAt + budgetMs;
-            await this.#waitForSearchSlot(deadline);
+            const deadlineMs = startedAtMs + budgetMs;
+            await this.#waitForSearchSlot(deadlineMs);
             const target = this.#leader ?? this.#selectNextMember();
-            if (this.#getNow() >= deadline || target === undefined) {
+            if (this.#getNow() >= deadlineMs || target === undefined) {
                 throw new NoLeaderError(mayHaveExecuted);
             }
             try {
                 // The attempt may use the longer limit, which applies as soon as it is delivered.
-                const remainingMs = startedAt + computeDeliveredMs() - this.#getNow();
+                const remainingMs = startedAtMs + computeDeliveredMs() - this.#getNow();
                 const answer = await this.#callInstance<T>(target, method, params, remainingMs);
                 this.#setLeader(target);
                 return answer;
@@ -169,15 +169,18 @@
         params: object,
         timeoutMs: number,
     ): Promise<T> {
-        const startedAt = this.#getNow();
+        const startedAtMs = this.#getNow();
         const call = this.#clientPool
             .getClient(target)
             .call<T>(method, params, Math.max(1, Math.ceil(timeoutMs)));
         let timer: NodeJS.Timeout | undefined;
         const inactivity = new Promise<never>((_resolve, reject) => {
             const checkInactivity = (): void => {
-                const lastActivityAt = Math.max(startedAt, this.#lastResponseAtMs.get(target) ?? 0);
-                if (this.#getNow() - lastActivityAt > this.#inactivityTimeoutMs) {
+                const lastActivityAtMs = Math.max(
+                    startedAtMs,
+                    this.#lastResponseAtMs.get(target) ?? 0,
+                );
+                if (this.#getNow() - lastActivityAtMs > this.#inactivityTimeoutMs) {
                     reject(new RpcError(`${target} did not respond: timeout`, 0));
                 }
             };
@@ -229,17 +232,17 @@
     }
 
     /** Waits until a leader is known or this call may make the next search attempt. */
-    async #waitForSearchSlot(deadline: number): Promise<void> {
+    async #waitForSearchSlot(deadlineMs: number): Promise<void> {
         for (;;) {
             const now = this.#getNow();
-            if (this.#leader !== undefined || now >= deadline) {
+            if (this.#leader !== undefined || now >= deadlineMs) {
                 return;
             }
             if (now >= this.#nextSearchAtMs) {
                 this.#nextSearchAtMs = now + LEADER_SEARCH_INTERVAL_MS;
                 return;
             }
-            await this.#waitForLeader(Math.min(this.#nextSearchAtMs, deadline) - now);
+            await this.#waitForLeader(Math.min(this.#nextSearchAtMs, deadlineMs) - now);
         }
     }
 
