--- a/control/calls.ts
+++ b/control/calls.ts
@@ -119,7 +119,7 @@
     readonly budgetMs: number;
 }
 
-/** Tells whether a front can reach the leader. */
+/** A front's answer to a probe: whether it reaches the leader. */
 export interface ReachabilityAnswer {
     readonly hearsLeader: boolean;
     /** The leader's RPC address from its last hello response. */
--- a/control/clock_jump_detector.ts
+++ b/control/clock_jump_detector.ts
@@ -6,7 +6,7 @@
  * @example
  * ```ts
  * import { ClockJumpDetector } from "./clock_jump_detector.ts";
- * const detector = new ClockJumpDetector(() => replica.distrustClock());
+ * const detector = new ClockJumpDetector(() => replica.invalidateLease());
  * detector.check();
  * ```
  *
--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -133,7 +133,7 @@
     #server: RpcServer | undefined;
     #helloSubscription: Subscription | undefined;
     #leaderPublicAddress: string | undefined;
-    /** Counts calls and orders that arrived while the leader lease had expired. */
+    /** Limits the log lines about calls and orders that arrive while the lease is expired. */
     readonly #expiredLeaseLog = new RateLimitedLog((fields) =>
         this.#options.log.warn("calls arrived after leader lease expired", fields),
     );
@@ -336,7 +336,7 @@
         return this.#committedState.workers.size >= LARGE_DEPLOYMENT_WORKERS;
     }
 
-    /** Tells whether a heartbeat carries no changes and can be batched for the leader. */
+    /** Returns whether a heartbeat carries no changes and can be batched for the leader. */
     #isKeepAlive(call: HeartbeatCall): boolean {
         const known = this.#committedState.workers.get(call.record.id);
         return (
@@ -432,9 +432,7 @@
         return this.isServing;
     }
 
-    /**
-     * Converts a proposal error to an RPC error that tells whether the call may have taken effect.
-     */
+    /** Converts a proposal error to an RPC error; its code shows whether the call may take effect. */
     #refuseCall(error: Error): never {
         if (error instanceof OutcomeUnknownError) {
             throw new MethodError(error.message, OUTCOME_UNKNOWN_CODE);
--- a/control/effect_queue.ts
+++ b/control/effect_queue.ts
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Tells whether the queue is full, so that placement should pause.
+     * Returns whether the queue is full, so that placement should pause.
      *
      * @returns True if full; {@link EffectQueueOptions.onDrained} is called after it has drained.
      */
--- a/control/state_reader.ts
+++ b/control/state_reader.ts
@@ -1,11 +1,11 @@
 /**
  * Reads job states from a replica. A read of a running job waits briefly for its end to be
- * replicated, so that a caller that asks right after the last task isn't told `running`.
+ * replicated, so that a caller that asks right after the last task doesn't receive `running`.
  *
  * @example
  * ```ts
  * import { StateReader } from "./state_reader.ts";
- * const reader = new StateReader(ledger);
+ * const reader = new StateReader(store);
  * const answer = await reader.readState(job);
  * ```
  *
@@ -90,7 +90,7 @@
     }
 }
 
-/** Tells whether a job is running and has neither repeats nor perpetual tasks. */
+/** Returns whether a job is running and has neither repeats nor perpetual tasks. */
 function isAboutToEnd(job: Job): boolean {
     const isOneShot = job.spec?.repeats === 0 && job.spec.steps.every((step) => !step.isPerpetual);
     return job.state === "running" && isOneShot;
--- a/control/worker_poller.ts
+++ b/control/worker_poller.ts
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Tells whether a worker is being polled.
+     * Returns whether a worker is being polled.
      *
      * @param id The worker.
      * @returns True until the poll loop of the worker has ended.
--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -410,12 +410,12 @@
     }
 }
 
-/** Tells a call about a job, whose path ends with the job's id, from a query about a queue. */
+/** Returns whether a call is about a job, so that its path ends with an id, not about a queue. */
 function isJobCall(call: CallerCall): boolean {
     return call.type !== "state" || isJobId(call.path.slice(call.path.lastIndexOf("/") + 1));
 }
 
-/** Tells whether a relay did not forward the call because it cannot reach the leader either. */
+/** Returns whether a relay rejected the call because it cannot reach the leader either. */
 function isNotLeaderError(error: RpcError): boolean {
     return error.code === NOT_LEADER_CODE;
 }
--- a/front/leader_reachability.ts
+++ b/front/leader_reachability.ts
@@ -45,7 +45,7 @@
     readonly zone: string;
     /** Asks a peer whether it reaches the leader; rejects if the peer does not answer. */
     readonly probe: (address: string) => Promise<ReachabilityAnswer>;
-    /** Tells whether a connection to an instance can be opened; without it, none can. */
+    /** Returns whether a connection to an instance can be opened; by default none can. */
     readonly canConnect?: (address: string) => Promise<boolean>;
     /** Called with a leader that a peer reaches and that this front can connect to. */
     readonly onLeaderFound?: (leader: string) => void;
--- a/group/group_member.ts
+++ b/group/group_member.ts
@@ -5,7 +5,9 @@
  * @example
  * ```ts
  * import { GroupMember } from "./group_member.ts";
- * const member = new GroupMember({ layout, self, machine, network, dataDir, timings, log });
+ * const member = new GroupMember({
+ *     group, self, incarnation, machine, network, dataDir, timings, log,
+ * });
  * member.start();
  * ```
  *
@@ -42,7 +44,9 @@
     /** Start time of this process on the monotonic clock, in ms, if known. */
     readonly processStartedAtMs?: number;
     readonly batchWindowMs?: number;
+    /** Number of entries between snapshots. */
     readonly snapshotIntervalEntries?: number;
+    /** Returns commands to append to a batch before it is proposed. */
     readonly createExtraCommands?: (commands: readonly C[]) => readonly C[];
     readonly log: Logger;
 }
--- a/group/leader_clock.ts
+++ b/group/leader_clock.ts
@@ -7,7 +7,7 @@
  * ```ts
  * import { LeaderClock } from "./leader_clock.ts";
  * const clock = new LeaderClock();
- * clock.start(cell.lastAt);
+ * clock.start(store.lastBatchAtMs);
  * const nowMs = clock.getNow();
  * ```
  *
--- a/job/state_store.ts
+++ b/job/state_store.ts
@@ -111,7 +111,7 @@
     }
 
     /**
-     * Tells whether a worker was removed; its id is never used again.
+     * Returns whether a worker was removed; its id is never used again.
      *
      * @param id The worker's id.
      * @returns True if its removal was applied and is still remembered.
@@ -433,7 +433,7 @@
 }
 
 /**
- * Tells whether all units of a step are done.
+ * Returns whether all units of a step are done.
  *
  * @param occurrence The occurrence.
  * @param stepIndex The step's index in the job's specification.
@@ -458,7 +458,7 @@
     );
 }
 
-/** Tells whether no fact changes the job any more, other than its removal. */
+/** Returns whether only its removal can still change the job. */
 function isImmutable(job: Job): boolean {
     return job.endedAt !== undefined && job.occurrences.size === 0;
 }
--- a/job/types.ts
+++ b/job/types.ts
@@ -168,7 +168,7 @@
 const JOB_ID_PATTERN = /^[0-9a-f]{16}$/;
 
 /**
- * Tells whether a text is a valid job id.
+ * Returns whether a text is a valid job id.
  *
  * @param text The text.
  * @returns True for 16 hexadecimal digits.
--- a/membership/gossip.ts
+++ b/membership/gossip.ts
@@ -5,7 +5,7 @@
  * @example
  * ```ts
  * import { Gossip } from "./gossip.ts";
- * const gossip = new Gossip({ self, members, random: Math.random });
+ * const gossip = new Gossip({ self, members, startedAtMs, random: Math.random });
  * const peers = gossip.tick(now);
  * const response = gossip.receive(table, now);
  * ```
