--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -18,7 +18,7 @@
 import { interval, type Subscription } from "rxjs";
 import type { Logger } from "winston";
 import { checkConfiguration, findQueue, type Configuration } from "../configuration/mod.ts";
-import { isSameReport, type DispatchLimits, type LaneId } from "../dispatch/mod.ts";
+import { isSameReport, type DispatchLimits, type FrontId } from "../dispatch/mod.ts";
 import { GroupMember, LeaderClock, PeerNetwork, type PeerEnvelope } from "../group/mod.ts";
 import { StateStore, type FactBatch, type JobId, type WorkerId } from "../job/mod.ts";
 import {
@@ -489,7 +489,7 @@
         this.#leadership = undefined;
     }
 
-    #sendAdvise(lane: LaneId, call: AdviseCall): Promise<AdviseAnswer> {
+    #sendAdvise(lane: FrontId, call: AdviseCall): Promise<AdviseAnswer> {
         return this.#clients
             .getClient(lane)
             .call<AdviseAnswer>(METHODS.advise, call, call.timeoutMs + PEER_TIMEOUT_MS);
@@ -559,6 +559,6 @@
 
     #updateFronts(): void {
         const fronts = this.#instances.listAddresses("front");
-        this.#leadership?.setFronts(fronts as unknown as LaneId[]);
+        this.#leadership?.setFronts(fronts as unknown as FrontId[]);
     }
 }
--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -25,7 +25,7 @@
     type DispatchClock,
     type DispatchLimits,
     type Effect,
-    type LaneId,
+    type FrontId,
     type MemberRun,
     type OrderAnswer,
 } from "../dispatch/mod.ts";
@@ -71,7 +71,7 @@
     readonly clock: DispatchClock;
     readonly workerCalls: WorkerCalls;
     /** Calls the advice service through a front. */
-    readonly advise: (lane: LaneId, call: AdviseCall) => Promise<AdviseAnswer>;
+    readonly advise: (lane: FrontId, call: AdviseCall) => Promise<AdviseAnswer>;
     readonly limits?: Partial<DispatchLimits>;
     readonly metrics?: ControlMetrics;
     readonly log: Logger;
@@ -133,11 +133,11 @@
                 LOG_LINES_PER_SECOND_PER_WORKER * options.committedState.workers.size,
         });
         this.#dispatcher = new Dispatcher({
-            ledger: options.committedState.copy(),
+            stateStore: options.committedState.copy(),
             clock: options.clock,
             firstFence: options.term * FENCING_TOKENS_PER_TERM,
             limits: options.limits,
-            record: (kind, event, fields) => this.#recordDecision(kind, event, fields),
+            recordDecision: (kind, event, fields) => this.#recordDecision(kind, event, fields),
         });
         this.#workerPoller = new WorkerPoller({
             dispatcher: this.#dispatcher,
@@ -170,8 +170,8 @@
      *
      * @param fronts The fronts.
      */
-    setFronts(fronts: readonly LaneId[]): void {
-        this.#dispatcher.setLanes(fronts);
+    setFronts(fronts: readonly FrontId[]): void {
+        this.#dispatcher.setFronts(fronts);
         this.#schedulePlacement();
     }
 
@@ -457,7 +457,7 @@
     }
 
     async #runAdvise(effect: Extract<Effect, { type: "advise" }>): Promise<void> {
-        const { call, lane } = effect;
+        const { call, front: lane } = effect;
         const timeoutMs = Math.ceil(
             computeCallMs(call) * ADVICE_TIMEOUT_FACTOR + ADVICE_TIMEOUT_MARGIN_MS,
         );
--- a/dispatch/_attempts.ts
+++ b/dispatch/_attempts.ts
@@ -56,9 +56,9 @@
      */
     adoptJobs(): void {
         const now = this.#context.clock.getNow();
-        for (const job of this.#context.ledger.jobs.values()) {
+        for (const job of this.#context.stateStore.jobs.values()) {
             if (job.endedAt === undefined) {
-                this.#context.board.openJob(job);
+                this.#context.readySteps.openJob(job);
             }
             for (const [number, occurrence] of job.occurrences) {
                 occurrence.steps.forEach((units, step) =>
@@ -68,7 +68,7 @@
                             const member = this.createMember(job, ref, index, worker, undefined);
                             member.state = job.endedAt === undefined ? "ordered" : "stopping";
                             member.startSends = MAX_START_SENDS;
-                            member.startedAt = now;
+                            member.startedAtMs = now;
                             this.addMember(member);
                         }
                     }),
@@ -82,7 +82,7 @@
     #endOrphanedMembers(): void {
         for (const members of [...this.#membersByUnit.values()]) {
             for (const member of [...members.values()]) {
-                if (this.#context.book.findWorker(member.worker) === undefined) {
+                if (this.#context.registry.findWorker(member.worker) === undefined) {
                     this.endMember(member, "lost", "");
                 }
             }
@@ -112,19 +112,19 @@
             unit,
             index,
             name: formatTaskName({ ...unit, index }),
-            attempt: this.#context.ledger.findUnit(unit)?.attempt ?? 0,
+            attempt: this.#context.stateStore.findUnit(unit)?.attempt ?? 0,
             worker,
             reserved: computeReservedResources(spec),
             priority: this.#context.findQueue(job.queue)?.priority ?? 0,
             state: "planned",
             startSends: 0,
             fence: 0,
-            startResolvedAt: undefined,
-            startedAt: now,
+            startResolvedAtMs: undefined,
+            startedAtMs: now,
             observedRunMs: 0,
-            isolationMs: computeIsolationMs(this.#context.ledger.findUnit(unit)?.crashes ?? []),
+            isolationMs: computeIsolationMs(this.#context.stateStore.findUnit(unit)?.crashes ?? []),
             progressPercent: 0,
-            progressAt: now,
+            progressAtMs: now,
             estimateMs: spec?.estimateMs ?? 0,
             isMovable: spec !== undefined && isMovable(spec),
             isPerpetual: spec?.isPerpetual ?? false,
@@ -133,7 +133,7 @@
             load: 0,
             // Unknown after a failover: an earlier leader may have sent a pace.
             pacePercent: undefined,
-            stopSentAt: Number.NEGATIVE_INFINITY,
+            stopSentAtMs: Number.NEGATIVE_INFINITY,
             ticket,
         };
     }
@@ -148,7 +148,7 @@
         const members = this.#membersByUnit.get(key) ?? new Map<number, MemberRun>();
         members.set(member.index, member);
         this.#membersByUnit.set(key, members);
-        this.#context.book.addMember(member);
+        this.#context.registry.addMember(member);
     }
 
     /**
@@ -158,7 +158,7 @@
      * @returns The worker, or `undefined` if the member has ended.
      */
     findActive(member: MemberRun): WorkerState | undefined {
-        const worker = this.#context.book.findWorker(member.worker);
+        const worker = this.#context.registry.findWorker(member.worker);
         return worker?.members.get(member.name) === member ? worker : undefined;
     }
 
@@ -175,7 +175,7 @@
             return;
         }
         const { unit: ref } = member;
-        this.#context.book.removeMember(member);
+        this.#context.registry.removeMember(member);
         const members = this.#membersByUnit.get(createUnitKey(ref));
         members?.delete(member.index);
         this.#context.recordFact({
@@ -195,11 +195,11 @@
                 attempt: member.attempt,
                 worker: member.worker,
                 how: endKind,
-                tookMs: Math.round(this.#context.clock.getNow() - member.startedAt),
+                tookMs: Math.round(this.#context.clock.getNow() - member.startedAtMs),
                 lastedMs: endKind === "lost" ? Math.round(member.observedRunMs) : undefined,
             },
         );
-        this.#context.recordFreedCapacity(this.#context.book.findWorker(member.worker));
+        this.#context.recordFreedCapacity(this.#context.registry.findWorker(member.worker));
         if (members !== undefined && members.size > 0) {
             if (endKind !== "done") {
                 // A gang cannot continue without one of its members.
@@ -212,7 +212,7 @@
     }
 
     #handleAttemptEnd(ref: UnitRef): void {
-        const job = this.#context.ledger.jobs.get(ref.job);
+        const job = this.#context.stateStore.jobs.get(ref.job);
         if (job === undefined) {
             return;
         }
@@ -223,15 +223,15 @@
             this.closeJob(job);
             return;
         }
-        const unit = this.#context.ledger.findUnit(ref);
+        const unit = this.#context.stateStore.findUnit(ref);
         if (unit?.isDone === true) {
-            this.#context.board
+            this.#context.readySteps
                 .handleUnitDone(ref)
                 .forEach((key) => this.#context.adviceScheduler.removeCalls(key));
             return;
         }
         if (!this.endIfFailed(ref)) {
-            this.#context.board.addWaiting(ref);
+            this.#context.readySteps.addWaiting(ref);
         }
     }
 
@@ -242,8 +242,8 @@
      * @returns Whether the job failed.
      */
     endIfFailed(ref: UnitRef): boolean {
-        const job = this.#context.ledger.jobs.get(ref.job);
-        const unit = this.#context.ledger.findUnit(ref);
+        const job = this.#context.stateStore.jobs.get(ref.job);
+        const unit = this.#context.stateStore.findUnit(ref);
         if (job === undefined || unit === undefined || job.endedAt !== undefined || unit.isDone) {
             return false;
         }
@@ -271,7 +271,7 @@
      * @param job The job.
      */
     closeJob(job: Job): void {
-        this.#context.board
+        this.#context.readySteps
             .closeJob(job.id)
             .forEach((key) => this.#context.adviceScheduler.removeCalls(key));
         for (const [number, occurrence] of job.occurrences) {
@@ -300,7 +300,7 @@
         if (member.state === "planned") {
             member.startSends = 0;
             member.state = "stopping";
-            member.startResolvedAt = Number.NEGATIVE_INFINITY;
+            member.startResolvedAtMs = Number.NEGATIVE_INFINITY;
             this.#context.emit({ type: "look", worker: member.worker });
             return;
         }
--- a/dispatch/_candidates.ts
+++ b/dispatch/_candidates.ts
@@ -32,7 +32,7 @@
 export interface StepCandidates {
     readonly admitted: Candidate[];
     /** Workers that the advice service has not been asked about. */
-    readonly unasked: Candidate[];
+    readonly unqueried: Candidate[];
     /** Admitted workers whose ticket has expired. */
     readonly expired: Candidate[];
 }
@@ -47,19 +47,21 @@
 export function listCandidates(context: DispatchContext, query: CandidateQuery): StepCandidates {
     const { step, queue, now } = query;
     const { requiredLabel } = step.spec;
-    const result: StepCandidates = { admitted: [], unasked: [], expired: [] };
+    const result: StepCandidates = { admitted: [], unqueried: [], expired: [] };
     for (const worker of query.workers) {
         const { record } = worker;
         const isEligible =
             record.pool === queue.pool &&
             (requiredLabel === undefined || record.labels.includes(requiredLabel)) &&
-            context.book.isUsable(worker, now) &&
+            context.registry.isUsable(worker, now) &&
             !query.isReserved(record.id);
         if (!isEligible) {
             continue;
         }
         const list = findCandidateList(result, query, record.id);
-        list?.push(createCandidate(step, worker, context.book.hasRecentFailure(worker, now), now));
+        list?.push(
+            createCandidate(step, worker, context.registry.hasRecentFailure(worker, now), now),
+        );
     }
     return result;
 }
@@ -77,9 +79,9 @@
     }
     const admission = step.advice.admitted.get(id);
     if (admission !== undefined) {
-        return admission.validUntil > now ? result.admitted : result.expired;
+        return admission.validUntilMs > now ? result.admitted : result.expired;
     }
-    return step.advice.askedWorkers.has(id) ? undefined : result.unasked;
+    return step.advice.queriedWorkers.has(id) ? undefined : result.unqueried;
 }
 
 function createCandidate(
--- a/dispatch/_context.ts
+++ b/dispatch/_context.ts
@@ -23,13 +23,13 @@
 /** Options of {@link DispatchContext}. */
 export interface DispatchContextOptions {
     /** The replicated state; recorded facts are applied to it immediately. */
-    readonly ledger: StateStore;
+    readonly stateStore: StateStore;
     readonly clock: DispatchClock;
     /** The first fencing token; higher than any token of earlier leaders. */
     readonly firstFence: number;
     readonly limits?: Partial<DispatchLimits>;
     /** Logs a decision. */
-    readonly record?: RecordDecision;
+    readonly recordDecision?: RecordDecision;
 }
 
 /** Default timeouts and limits of the dispatcher. */
@@ -46,11 +46,11 @@
 
 /** Shared state of one leader's dispatcher. */
 export class DispatchContext {
-    readonly ledger: StateStore;
+    readonly stateStore: StateStore;
     readonly clock: DispatchClock;
     readonly limits: DispatchLimits;
-    readonly book: WorkerRegistry;
-    readonly board: ReadySteps;
+    readonly registry: WorkerRegistry;
+    readonly readySteps: ReadySteps;
     readonly adviceScheduler = new AdviceScheduler();
     readonly admissionRates = new AdmissionRates();
     readonly recordDecision: RecordDecision;
@@ -63,16 +63,16 @@
      * @param options See {@link DispatchContextOptions}.
      */
     constructor(options: DispatchContextOptions) {
-        this.ledger = options.ledger;
+        this.stateStore = options.stateStore;
         this.clock = options.clock;
         this.limits = { ...DEFAULT_DISPATCH_LIMITS, ...options.limits };
-        this.recordDecision = options.record ?? (() => {});
-        this.book = new WorkerRegistry({
+        this.recordDecision = options.recordDecision ?? (() => {});
+        this.registry = new WorkerRegistry({
             firstFence: options.firstFence,
             leaseMs: this.limits.leaseMs,
             maxReportAgeMs: this.limits.maxReportAgeMs,
         });
-        this.board = new ReadySteps({ ledger: this.ledger, clock: this.clock });
+        this.readySteps = new ReadySteps({ stateStore: this.stateStore, clock: this.clock });
     }
 
     /**
@@ -82,7 +82,7 @@
      */
     recordFact(fact: Fact): void {
         this.#facts.push(fact);
-        this.ledger.apply({ at: this.clock.getWallTime(), facts: [fact] });
+        this.stateStore.apply({ at: this.clock.getWallTime(), facts: [fact] });
     }
 
     /**
@@ -92,7 +92,7 @@
      */
     recordFreedCapacity(worker: WorkerState | undefined): void {
         if (worker !== undefined) {
-            this.book.recordCapacityGain(worker);
+            this.registry.recordCapacityGain(worker);
         }
         this.isDirty = true;
     }
@@ -121,6 +121,6 @@
      * @returns Its latest settings, or `undefined` if it is unknown.
      */
     findQueue(name: QueueName): QueueConfig | undefined {
-        return this.ledger.queues.get(name);
+        return this.stateStore.queues.get(name);
     }
 }
--- a/dispatch/_crash_isolation.ts
+++ b/dispatch/_crash_isolation.ts
@@ -38,7 +38,10 @@
     readonly #context: DispatchContext;
     readonly #reservations = new Map<WorkerId, StepKey>();
     /** Suspects that wait for a worker, by unit key. */
-    readonly #waitingUnits = new Map<string, { readonly step: StepKey; readonly since: number }>();
+    readonly #waitingUnits = new Map<
+        string,
+        { readonly step: StepKey; readonly sinceMs: number }
+    >();
     #isolatedWorkers = new Set<WorkerId>();
 
     /**
@@ -55,18 +58,18 @@
      * @param now The current monotonic time, in ms.
      */
     update(now: number): void {
-        const { book, board } = this.#context;
+        const { registry, readySteps } = this.#context;
         for (const [id, key] of this.#reservations) {
-            const worker = book.findWorker(id);
-            const hasWaiting = (board.findStep(key)?.waiting.size ?? 0) > 0;
-            if (worker === undefined || !hasWaiting || !book.isUsable(worker, now)) {
+            const worker = registry.findWorker(id);
+            const hasWaiting = (readySteps.findStep(key)?.waiting.size ?? 0) > 0;
+            if (worker === undefined || !hasWaiting || !registry.isUsable(worker, now)) {
                 this.#releaseReservation(id);
             } else if ([...worker.members.values()].some((member) => isProbeDue(member, now))) {
                 this.#probe(worker, now);
             }
         }
         for (const [key, { step }] of this.#waitingUnits) {
-            if (board.findStep(step) === undefined) {
+            if (readySteps.findStep(step) === undefined) {
                 this.#waitingUnits.delete(key);
             }
         }
@@ -114,7 +117,8 @@
             return [];
         }
         return [...step.waiting].filter((unit) => {
-            const crashes = this.#context.ledger.findUnit(createUnitRef(step, unit))?.crashes ?? [];
+            const crashes =
+                this.#context.stateStore.findUnit(createUnitRef(step, unit))?.crashes ?? [];
             return computeIsolationMs(crashes) > 0;
         });
     }
@@ -135,14 +139,14 @@
         now: number,
     ): WorkerId[] | undefined {
         const key = createUnitKey(createUnitRef(step, unit));
-        const since = this.#waitingUnits.get(key)?.since ?? now;
+        const sinceMs = this.#waitingUnits.get(key)?.sinceMs ?? now;
         const chosen =
             this.#placeIsolated(step, candidates.admitted) ??
-            (now - since >= MAX_ISOLATION_WAIT_MS
+            (now - sinceMs >= MAX_ISOLATION_WAIT_MS
                 ? placeUnit(createPlacementRequest(step, this.selectAvailable(candidates.admitted)))
                 : undefined);
         if (chosen === undefined) {
-            this.#waitingUnits.set(key, { step: step.key, since });
+            this.#waitingUnits.set(key, { step: step.key, sinceMs });
             this.#addReservation(step, [...candidates.admitted, ...candidates.expired]);
             return undefined;
         }
@@ -157,7 +161,7 @@
     /** Places a suspect on workers without recent starts, those with the fewest tasks first. */
     #placeIsolated(step: ReadyStep, admitted: readonly Candidate[]): WorkerId[] | undefined {
         const eligible = this.#selectStable(admitted).filter(({ id }) => {
-            const worker = this.#context.book.findWorker(id);
+            const worker = this.#context.registry.findWorker(id);
             return worker !== undefined && !hasRecentStart(worker);
         });
         if (step.spec.isGang) {
@@ -178,22 +182,22 @@
      * its own fault is idle after each restart and would attract suspects.
      */
     #selectStable(candidates: readonly Candidate[]): readonly Candidate[] {
-        const { book, clock } = this.#context;
+        const { registry, clock } = this.#context;
         const now = clock.getNow();
         const stable = candidates.filter(({ id }) => {
-            const address = book.findWorker(id)?.record.address ?? "";
-            return !book.hasRecentCrash(address, now);
+            const address = registry.findWorker(id)?.record.address ?? "";
+            return !registry.hasRecentCrash(address, now);
         });
         return 2 * stable.length >= candidates.length ? stable : candidates;
     }
 
     #countMembers({ id }: Candidate): number {
-        return this.#context.book.findWorker(id)?.members.size ?? 0;
+        return this.#context.registry.findWorker(id)?.members.size ?? 0;
     }
 
     #addReservation(step: ReadyStep, candidates: readonly Candidate[]): void {
-        const { book } = this.#context;
-        const workerCount = [...book.workers].length;
+        const { registry } = this.#context;
+        const workerCount = [...registry.workers].length;
         const maxReservations = Math.max(1, Math.floor(workerCount / WORKERS_PER_RESERVATION));
         const ownReservations = [...this.#reservations.values()].filter(
             (key) => key === step.key,
@@ -208,7 +212,7 @@
         const [leastLoaded] = this.#selectStable(candidates)
             .filter(({ id }) => !this.#reservations.has(id) && !this.#isolatedWorkers.has(id))
             .filter(({ id }) =>
-                hasResourcesFor(book.findWorker(id)?.record.capacity ?? NO_RESOURCES, needs),
+                hasResourcesFor(registry.findWorker(id)?.record.capacity ?? NO_RESOURCES, needs),
             )
             .sort((a, b) => this.#countMembers(a) - this.#countMembers(b));
         if (leastLoaded !== undefined) {
@@ -218,7 +222,7 @@
 
     #releaseReservation(id: WorkerId): void {
         const worker = this.#reservations.delete(id)
-            ? this.#context.book.findWorker(id)
+            ? this.#context.registry.findWorker(id)
             : undefined;
         if (worker !== undefined) {
             this.#context.recordFreedCapacity(worker);
@@ -231,12 +235,12 @@
      */
     #listIsolatedMembers(now: number): MemberRun[] {
         const isolated: MemberRun[] = [];
-        for (const member of this.#context.book.isolatedRuns) {
+        for (const member of this.#context.registry.isolatedRuns) {
             if (member.observedRunMs >= member.isolationMs) {
                 continue;
             }
             isolated.push(member);
-            const worker = this.#context.book.findWorker(member.worker);
+            const worker = this.#context.registry.findWorker(member.worker);
             if (worker !== undefined && isProbeDue(member, now)) {
                 this.#probe(worker, now);
             }
@@ -245,8 +249,8 @@
     }
 
     #probe(worker: WorkerState, now: number): void {
-        if (now - worker.extraPollAt >= PROBE_INTERVAL_MS) {
-            worker.extraPollAt = now;
+        if (now - worker.extraPollAtMs >= PROBE_INTERVAL_MS) {
+            worker.extraPollAtMs = now;
             this.#context.emit({ type: "look", worker: worker.record.id });
         }
     }
@@ -257,7 +261,7 @@
     return (
         member.state === "running" &&
         !isPastStartup(member) &&
-        now - member.startedAt >= STARTUP_CRASH_WINDOW_MS
+        now - member.startedAtMs >= STARTUP_CRASH_WINDOW_MS
     );
 }
 
--- a/dispatch/_evacuator.ts
+++ b/dispatch/_evacuator.ts
@@ -37,11 +37,14 @@
      * @param now The current monotonic time, in ms.
      */
     drainWorker(worker: WorkerState, now: number): void {
-        const { record, leavesAt } = worker;
-        if (!record.isDraining || leavesAt === undefined) {
+        const { record, leavesAtMs } = worker;
+        if (!record.isDraining || leavesAtMs === undefined) {
             return;
         }
-        for (const member of selectForEvacuation(worker.members.values(), { now, leavesAt })) {
+        for (const member of selectForEvacuation(worker.members.values(), {
+            now,
+            leavesAtMs,
+        })) {
             if (!this.#hasCapacityElsewhere(worker, member, now)) {
                 continue;
             }
@@ -50,18 +53,18 @@
                 task: member.name,
                 worker: record.id,
                 percent: member.progressPercent,
-                leavesInMs: Math.round(leavesAt - now),
+                leavesInMs: Math.round(leavesAtMs - now),
             });
             this.#attempts.stopMember(member);
         }
     }
 
     #hasCapacityElsewhere(worker: WorkerState, member: MemberRun, now: number): boolean {
-        for (const other of this.#context.book.workers) {
+        for (const other of this.#context.registry.workers) {
             if (
                 other !== worker &&
                 other.record.pool === worker.record.pool &&
-                this.#context.book.isUsable(other, now) &&
+                this.#context.registry.isUsable(other, now) &&
                 hasResourcesFor(getFreeResources(other), member.reserved)
             ) {
                 return true;
--- a/dispatch/_fixtures.ts
+++ b/dispatch/_fixtures.ts
@@ -30,17 +30,17 @@
 import { buildQueue, POOL, QUEUE } from "./_builders.ts";
 import { Dispatcher } from "./dispatcher.ts";
 import { InvariantChecker, type CrashRecord, type RunRecord } from "./_invariant_checker.ts";
-import type { AdviceCall, Effect, LaneId, PollAnswer, OrderAnswer } from "./types.ts";
+import type { AdviceCall, Effect, FrontId, PollAnswer, OrderAnswer } from "./types.ts";
 
 export * from "./_builders.ts";
 
 const COMMIT_DELAY_MS = 12;
 const NETWORK_DELAY_MS = 1;
-const LOOK_INTERVAL_MS = 50;
+const POLL_INTERVAL_MS = 50;
 const TICK_INTERVAL_MS = 100;
 const ORDER_TIMEOUT_MS = 400;
 /** Time added to a look's own wait before the look times out, in ms. */
-const LOOK_TIMEOUT_MARGIN_MS = 500;
+const POLL_TIMEOUT_MARGIN_MS = 500;
 const FENCES_PER_TERM = 1_000_000;
 const HEARTBEAT_INTERVAL_MS = 1_500;
 const DEFAULT_RESTART_DELAY_MS = 3_300;
@@ -91,13 +91,13 @@
 /** A dispatcher and its workers, simulated in virtual time. */
 export class SimulatedCluster {
     readonly #options: SimulatedClusterOptions;
-    readonly committedLedger = new StateStore();
+    readonly committedState = new StateStore();
     readonly workers = new Map<WorkerId, TaskWorker>();
     /** Pace orders sent so far. */
     readonly paceOrders: { task: string; percent: number; atMs: number }[] = [];
     readonly #invariants = new InvariantChecker({ workers: this.workers, getNow: () => this.now });
     readonly #addresses = new Map<WorkerId, string>();
-    readonly #unheardWorkers = new Set<WorkerId>();
+    readonly #workersWithoutHeartbeats = new Set<WorkerId>();
     #hasLeader = true;
     #incarnationCount = 0;
     readonly #records = new Map<WorkerId, WorkerReport>();
@@ -114,14 +114,14 @@
      */
     constructor(options: SimulatedClusterOptions) {
         this.#options = options;
-        this.committedLedger.apply({ at: 0, facts: [this.#buildConfiguration()] });
+        this.committedState.apply({ at: 0, facts: [this.#buildConfiguration()] });
         this.dispatcher = this.#createDispatcher();
         for (let i = 0; i < options.workers; i++) {
             this.addWorker(`w${i + 1}` as WorkerId, `10.0.0.${i + 1}:80`);
         }
         this.#scheduleEvent(0, () => this.#tick());
         this.#scheduleEvent(0, () => this.#sendHeartbeats());
-        this.dispatcher.setLanes(this.#listLanes());
+        this.dispatcher.setFronts(this.#listFronts());
     }
 
     /** Adds a worker and kills the one that had the same address, if any. */
@@ -252,7 +252,7 @@
         this.#term += 1;
         this.#hasLeader = true;
         this.dispatcher = this.#createDispatcher();
-        this.dispatcher.setLanes(this.#listLanes());
+        this.dispatcher.setFronts(this.#listFronts());
         if (hasImmediateHeartbeats) {
             this.#sendHeartbeats(false);
         }
@@ -261,7 +261,7 @@
 
     /** Drops a worker's heartbeats from now on; orders still reach it. */
     dropHeartbeats(id: WorkerId): void {
-        this.#unheardWorkers.add(id);
+        this.#workersWithoutHeartbeats.add(id);
     }
 
     /** Advances virtual time. */
@@ -280,17 +280,17 @@
 
     /** Returns a job's committed state, or "unknown". */
     getJobState(id: string): string {
-        return this.committedLedger.jobs.get(id as JobId)?.state ?? "unknown";
+        return this.committedState.jobs.get(id as JobId)?.state ?? "unknown";
     }
 
-    #listLanes(): LaneId[] {
+    #listFronts(): FrontId[] {
         const count = this.#options.fronts ?? 3;
-        return Array.from({ length: count }, (_unused, i) => `front-${i + 1}` as LaneId);
+        return Array.from({ length: count }, (_unused, i) => `front-${i + 1}` as FrontId);
     }
 
     #createDispatcher(): Dispatcher {
         return new Dispatcher({
-            ledger: this.committedLedger.copy(),
+            stateStore: this.committedState.copy(),
             clock: { getNow: () => this.now, getWallTime: () => this.now },
             firstFence: this.#term * FENCES_PER_TERM,
         });
@@ -327,7 +327,7 @@
 
     #findTaskResources(task: string): Resources {
         const [job = "", , step = "0"] = task.split(".");
-        const spec = this.committedLedger.jobs.get(job as JobId)?.spec?.steps[Number(step)];
+        const spec = this.committedState.jobs.get(job as JobId)?.spec?.steps[Number(step)];
         return spec?.needs ?? { cpu: 1_000, memoryMb: 1_000, gpu: 0 };
     }
 
@@ -354,7 +354,7 @@
     #sendHeartbeats(isRepeated = true): void {
         this.#heartbeatSequence += 1;
         for (const [id, record] of this.#records) {
-            if (!this.#hasLeader || this.#unheardWorkers.has(id)) {
+            if (!this.#hasLeader || this.#workersWithoutHeartbeats.has(id)) {
                 continue;
             }
             const shutdownAtMs = this.#shutdownTimesMs.get(id);
@@ -378,13 +378,13 @@
             return;
         }
         const epoch = this.#epoch;
-        const at = this.now;
+        const recordedAtMs = this.now;
         const commitDelayMs = this.#options.computeCommitDelayMs?.() ?? COMMIT_DELAY_MS;
         this.#scheduleEvent(facts.length === 0 ? 0 : commitDelayMs, () => {
             if (epoch !== this.#epoch) {
                 return;
             }
-            this.committedLedger.apply({ at, facts });
+            this.committedState.apply({ at: recordedAtMs, facts });
             effects.forEach((effect) => this.#runEffect(effect));
             this.dispatcher.placeWaiting();
             this.#flush();
@@ -433,7 +433,7 @@
                 this.#startWatch(effect.worker);
                 return;
             case "look":
-                this.#sendLook(effect.worker, false, () => this.#startWatch(effect.worker));
+                this.#sendPoll(effect.worker, false, () => this.#startWatch(effect.worker));
                 return;
             case "advise":
                 this.#answerAdvice(effect.call);
@@ -453,31 +453,31 @@
 
     #watch(id: WorkerId, epoch: number): void {
         const isStale = epoch !== this.#epoch;
-        const hasSentLook =
+        const hasSentPoll =
             !isStale &&
-            this.#sendLook(id, true, () =>
-                this.#scheduleEvent(LOOK_INTERVAL_MS, () => this.#watch(id, epoch)),
+            this.#sendPoll(id, true, () =>
+                this.#scheduleEvent(POLL_INTERVAL_MS, () => this.#watch(id, epoch)),
             );
-        if (!hasSentLook && !isStale) {
+        if (!hasSentPoll && !isStale) {
             this.#watchedWorkers.delete(id);
         }
     }
 
-    #sendLook(id: WorkerId, mayWait: boolean, onAnswer: () => void): boolean {
+    #sendPoll(id: WorkerId, mayWait: boolean, onAnswer: () => void): boolean {
         const order = this.dispatcher.preparePoll(id, mayWait);
         if (order === undefined) {
             return false;
         }
-        const sentAt = this.now;
+        const sentAtMs = this.now;
         this.#send<PollAnswer>(
             "look",
             id,
             (worker) => worker.poll(order),
             (answer) => {
-                this.dispatcher.handlePollAnswer(order, sentAt, answer);
+                this.dispatcher.handlePollAnswer(order, sentAtMs, answer);
                 onAnswer();
             },
-            order.waitMs + LOOK_TIMEOUT_MARGIN_MS,
+            order.waitMs + POLL_TIMEOUT_MARGIN_MS,
         );
         return true;
     }
--- a/dispatch/_gang_reservations.ts
+++ b/dispatch/_gang_reservations.ts
@@ -104,7 +104,7 @@
                 ? this.#selectReservedWorkers(entry, candidates)
                 : new Map();
         this.#releaseWorkers(previous, step.reservedWorkers);
-        const mayPreempt = now - step.preemptedAt >= PREEMPTION_INTERVAL_MS;
+        const mayPreempt = now - step.preemptedAtMs >= PREEMPTION_INTERVAL_MS;
         if (
             step.reservedWorkers.size === 0 ||
             !mayPreempt ||
@@ -116,7 +116,7 @@
         if (victims === undefined) {
             return;
         }
-        step.preemptedAt = now;
+        step.preemptedAtMs = now;
         for (const victim of victims) {
             this.#context.recordDecision("decision", "task preempted", {
                 request: victim.unit.job,
@@ -138,7 +138,7 @@
         const needs = computeReservedResources(step.spec);
         const victims: MemberRun[] = [];
         for (const [id, count] of step.reservedWorkers) {
-            const worker = this.#context.book.findWorker(id);
+            const worker = this.#context.registry.findWorker(id);
             if (worker === undefined || !admitted.has(id)) {
                 return undefined;
             }
@@ -178,7 +178,7 @@
         reserved: ReadonlyMap<WorkerId, number>,
     ): void {
         for (const id of previous.keys()) {
-            const worker = reserved.has(id) ? undefined : this.#context.book.findWorker(id);
+            const worker = reserved.has(id) ? undefined : this.#context.registry.findWorker(id);
             if (worker !== undefined) {
                 this.#context.recordFreedCapacity(worker);
             }
@@ -187,7 +187,7 @@
 
     /** Computes a worker's free capacity after all less urgent tasks are preempted. */
     #computeCapacityAfterPreemption(id: WorkerId, priority: number): Resources {
-        const worker = this.#context.book.findWorker(id);
+        const worker = this.#context.registry.findWorker(id);
         if (worker === undefined) {
             return NO_RESOURCES;
         }
--- a/dispatch/_orders.ts
+++ b/dispatch/_orders.ts
@@ -52,7 +52,7 @@
      */
     prepareStart(member: MemberRun): StartOrder | undefined {
         const worker = this.#attempts.findActive(member);
-        const job = this.#context.ledger.jobs.get(member.unit.job);
+        const job = this.#context.stateStore.jobs.get(member.unit.job);
         if (worker === undefined || job === undefined || member.state === "stopping") {
             return undefined;
         }
@@ -61,7 +61,7 @@
             job.endedAt === undefined &&
             job.spec !== undefined &&
             (member.startSends > 0 || this.#hasCapacity(worker, now));
-        const leaseEndMs = isWanted ? this.#context.book.grantLease(worker, now) : undefined;
+        const leaseEndMs = isWanted ? this.#context.registry.grantLease(worker, now) : undefined;
         if (leaseEndMs === undefined) {
             if (member.state === "planned") {
                 this.#attempts.endMember(member, "void", "");
@@ -71,7 +71,7 @@
         member.state = "ordered";
         member.startSends += 1;
         member.fence = worker.fence;
-        const unit = this.#context.ledger.findUnit(member.unit);
+        const unit = this.#context.stateStore.findUnit(member.unit);
         return {
             worker: member.worker,
             address: worker.record.address,
@@ -99,15 +99,15 @@
         const now = this.#context.clock.getNow();
         switch (answer.type) {
             case "accepted":
-                this.#context.book.recordAnswer(worker, answer.clockMs, now);
-                member.startResolvedAt = now;
+                this.#context.registry.recordAnswer(worker, answer.clockMs, now);
+                member.startResolvedAtMs = now;
                 if (member.state === "ordered") {
                     member.state = "running";
-                    member.startedAt = now;
+                    member.startedAtMs = now;
                 }
                 return;
             case "refused":
-                this.#context.book.recordAnswer(worker, answer.clockMs, now);
+                this.#context.registry.recordAnswer(worker, answer.clockMs, now);
                 this.#handleRefusal(worker, member, answer.reason);
                 return;
             case "gone":
@@ -133,7 +133,7 @@
         if (worker === undefined) {
             return undefined;
         }
-        member.stopSentAt = this.#context.clock.getNow();
+        member.stopSentAtMs = this.#context.clock.getNow();
         return createOrder(worker, member);
     }
 
@@ -178,9 +178,9 @@
         }
         const now = this.#context.clock.getNow();
         if (answer.type === "accepted") {
-            this.#context.book.recordAnswer(worker, answer.clockMs, now);
-            if (member.startResolvedAt === undefined) {
-                member.startResolvedAt = now;
+            this.#context.registry.recordAnswer(worker, answer.clockMs, now);
+            if (member.startResolvedAtMs === undefined) {
+                member.startResolvedAtMs = now;
                 this.#context.emit({ type: "look", worker: member.worker });
             }
         } else if (answer.type === "gone") {
@@ -207,7 +207,7 @@
             this.#setStepPause(member);
         }
         if (reason === "unhealthy" || reason === "no_room") {
-            this.#context.book.recordRefusal(worker, this.#context.clock.getNow());
+            this.#context.registry.recordRefusal(worker, this.#context.clock.getNow());
         }
         if (member.startSends <= 1) {
             this.#expireTicket(member, reason);
@@ -216,7 +216,7 @@
         }
         // An earlier, unanswered send may still be executed, or was executed and has ended since.
         if (reason === "superseded") {
-            member.startResolvedAt = this.#context.clock.getNow();
+            member.startResolvedAtMs = this.#context.clock.getNow();
             this.#context.emit({ type: "look", worker: member.worker });
         } else {
             this.#ensureFenced(worker, member);
@@ -229,7 +229,7 @@
      */
     #hasCapacity(worker: WorkerState, now: number): boolean {
         return (
-            this.#context.book.hasFreshReport(worker, now) &&
+            this.#context.registry.hasFreshReport(worker, now) &&
             hasResourcesFor(getFreeResources(worker), NO_RESOURCES)
         );
     }
@@ -239,16 +239,16 @@
      * a tight loop.
      */
     #setStepPause(member: MemberRun): void {
-        const step = this.#context.board.findStep(createStepKey(member.unit));
+        const step = this.#context.readySteps.findStep(createStepKey(member.unit));
         if (step !== undefined) {
-            step.pausedUntil = this.#context.clock.getNow() + INVALID_START_PAUSE_MS;
+            step.pausedUntilMs = this.#context.clock.getNow() + INVALID_START_PAUSE_MS;
         }
     }
 
     #expireTicket(member: MemberRun, reason: string): void {
         if (reason === "ticket") {
-            const step = this.#context.board.findStep(createStepKey(member.unit));
-            step?.advice.admitted.set(member.worker, { ticket: "", validUntil: 0 });
+            const step = this.#context.readySteps.findStep(createStepKey(member.unit));
+            step?.advice.admitted.set(member.worker, { ticket: "", validUntilMs: 0 });
         }
     }
 
@@ -291,7 +291,7 @@
      */
     #ensureFenced(worker: WorkerState, member: MemberRun): void {
         if (worker.fence <= member.fence) {
-            this.#context.book.advanceFence(worker);
+            this.#context.registry.advanceFence(worker);
         }
         this.#context.emit({ type: "look", worker: worker.record.id });
     }
--- a/dispatch/_pacer.ts
+++ b/dispatch/_pacer.ts
@@ -55,17 +55,17 @@
         if (worstRatio > PAUSE_THRESHOLD) {
             // Pause fully and at once: a missed target affects users, a paused filler only loses
             // time.
-            worker.belowTargetSince = undefined;
+            worker.belowTargetSinceMs = undefined;
             fillers.forEach((filler) => this.#setPace(filler, 0));
             return;
         }
         if (worstRatio > RECOVERY_THRESHOLD) {
-            worker.belowTargetSince = undefined;
+            worker.belowTargetSinceMs = undefined;
             return;
         }
-        worker.belowTargetSince ??= now;
-        if (now - worker.belowTargetSince >= RECOVERY_INTERVAL_MS) {
-            worker.belowTargetSince = now;
+        worker.belowTargetSinceMs ??= now;
+        if (now - worker.belowTargetSinceMs >= RECOVERY_INTERVAL_MS) {
+            worker.belowTargetSinceMs = now;
             fillers.forEach((filler) => {
                 const pace = filler.pacePercent ?? FULL_PERCENT;
                 this.#setPace(filler, Math.min(FULL_PERCENT, pace + RECOVERY_STEP_PERCENT));
--- a/dispatch/_placer.ts
+++ b/dispatch/_placer.ts
@@ -91,15 +91,15 @@
                 this.#placeStep(entry, scope, now);
             }
         }
-        for (const { lane, call } of this.#context.adviceScheduler.startCalls(now)) {
-            this.#context.emit({ type: "advise", lane, call });
+        for (const { front, call } of this.#context.adviceScheduler.startCalls(now)) {
+            this.#context.emit({ type: "advise", front, call });
         }
     }
 
     #rankWaiting(): RankedStep[] {
         const wallMs = this.#context.clock.getWallTime();
         const ranked: RankedStep[] = [];
-        for (const step of this.#context.board.steps) {
+        for (const step of this.#context.readySteps.steps) {
             const queue = step.waiting.size > 0 ? this.#context.findQueue(step.queue) : undefined;
             if (queue !== undefined) {
                 ranked.push({ step, queue, rank: rankStep(step, queue, wallMs) });
@@ -114,7 +114,7 @@
      * gained capacity.
      */
     #selectMatchScope({ step, queue }: RankedStep, gangPosition: number, now: number): MatchScope {
-        if (now < step.pausedUntil) {
+        if (now < step.pausedUntilMs) {
             return "none";
         }
         const isAwaitingAdvice =
@@ -127,7 +127,7 @@
         if (step.matchedVersion === undefined) {
             return "all";
         }
-        const sinceFullMatchMs = now - step.matchedAllAt;
+        const sinceFullMatchMs = now - step.matchedAllAtMs;
         if (
             step.hasCrashes &&
             sinceFullMatchMs >= GANG_MATCH_INTERVAL_MS &&
@@ -145,17 +145,19 @@
         if (sinceFullMatchMs >= FULL_MATCH_INTERVAL_MS) {
             return "all";
         }
-        return step.matchedVersion === this.#context.book.capacityVersion ? "none" : "changed";
+        return step.matchedVersion === this.#context.registry.capacityVersion ? "none" : "changed";
     }
 
     #placeStep(entry: RankedStep, scope: MatchScope, now: number): void {
         const { step } = entry;
-        const { book } = this.#context;
+        const { registry } = this.#context;
         const workers =
-            scope === "all" ? book.workers : book.listChangedSince(step.matchedVersion ?? 0);
-        step.matchedVersion = book.capacityVersion;
+            scope === "all"
+                ? registry.workers
+                : registry.listChangedSince(step.matchedVersion ?? 0);
+        step.matchedVersion = registry.capacityVersion;
         if (scope === "all") {
-            step.matchedAllAt = now;
+            step.matchedAllAtMs = now;
         }
         const candidates = this.#listCandidates(entry, workers, now);
         const hasPlaced = this.#placeUnits(step, candidates, now);
@@ -172,7 +174,7 @@
         const { retries, firstAttempts } = this.#listByFailures(step, suspects);
         const hasPlacedSuspects = this.#placeSuspects(step, suspects, candidates, now);
         const available = this.#isolation.selectAvailable(candidates.admitted);
-        const retryCandidates = selectForRetry(available, now - step.lastFailureAt);
+        const retryCandidates = selectForRetry(available, now - step.lastFailureAtMs);
         const hasPlacedRetries = this.#placeEach(step, retries, retryCandidates);
         const hasPlacedFirstAttempts = this.#placeEach(step, firstAttempts, available);
         return hasPlacedSuspects || hasPlacedRetries || hasPlacedFirstAttempts;
@@ -205,7 +207,7 @@
             return { retries: [], firstAttempts: units };
         }
         const hasFailed = (unit: number): boolean =>
-            (this.#context.ledger.findUnit(createUnitRef(step, unit))?.failures ?? 0) > 0;
+            (this.#context.stateStore.findUnit(createUnitRef(step, unit))?.failures ?? 0) > 0;
         return {
             retries: units.filter((unit) => hasFailed(unit)),
             firstAttempts: units.filter((unit) => !hasFailed(unit)),
@@ -248,7 +250,7 @@
     }
 
     #addTaskToZone(counts: Map<string, number>, id: WorkerId): void {
-        const zone = this.#context.book.findWorker(id)?.record.zone;
+        const zone = this.#context.registry.findWorker(id)?.record.zone;
         if (zone !== undefined) {
             counts.set(zone, (counts.get(zone) ?? 0) + 1);
         }
@@ -267,7 +269,7 @@
 
     #startAttempt(step: ReadyStep, unitNumber: number, workers: readonly WorkerId[]): void {
         const ref = createUnitRef(step, unitNumber);
-        const attempt = (this.#context.ledger.findUnit(ref)?.attempt ?? 0) + 1;
+        const attempt = (this.#context.stateStore.findUnit(ref)?.attempt ?? 0) + 1;
         const members = workers.map(
             (worker, i) => [step.spec.isGang ? i : unitNumber, worker] as const,
         );
@@ -285,7 +287,7 @@
             unit: unitNumber,
             attempt,
             workers,
-            waitedMs: Math.round(this.#context.clock.getWallTime() - step.readyAt),
+            waitedMs: Math.round(this.#context.clock.getWallTime() - step.readyAtMs),
         });
     }
 
@@ -298,7 +300,7 @@
     ): void {
         const { step, queue, rank } = entry;
         const { advice } = step;
-        if (queue.advice === undefined || advice.pendingCalls.size > 0 || now < advice.retryAt) {
+        if (queue.advice === undefined || advice.pendingCalls.size > 0 || now < advice.retryAtMs) {
             return;
         }
         const policy = queue.advice;
@@ -309,7 +311,7 @@
         if (scope === "changed") {
             // Asks about all workers at once: the call costs hardly more than one for the changed
             // workers.
-            const allCandidates = this.#listCandidates(entry, this.#context.book.workers, now);
+            const allCandidates = this.#listCandidates(entry, this.#context.registry.workers, now);
             workerGroups = this.#planAdvice(step, queue, allCandidates);
         }
         for (const workers of workerGroups) {
@@ -335,8 +337,8 @@
             return [];
         }
         const tasks = step.spec.isGang ? step.spec.count : step.waiting.size;
-        if (candidates.unasked.length > 0) {
-            const workers = rankAdviceCandidates(step, candidates.unasked);
+        if (candidates.unqueried.length > 0) {
+            const workers = rankAdviceCandidates(step, candidates.unqueried);
             const admissionRate = this.#context.admissionRates.get(queue.name);
             return planAdvice({ workers, tasks, admissionRate, policy });
         }
@@ -378,7 +380,7 @@
         const now = this.#context.clock.getNow();
         const times = this.#context.adviceScheduler.endCall(call.id, admissions !== undefined, now);
         this.#context.isDirty = true;
-        const step = this.#context.board.findStep(call.step);
+        const step = this.#context.readySteps.findStep(call.step);
         if (step === undefined || !step.advice.pendingCalls.delete(call.id)) {
             return;
         }
@@ -387,13 +389,13 @@
             return;
         }
         this.#recordAdmissionRate(step, call, admissions);
-        call.workers.forEach((worker) => step.advice.askedWorkers.add(worker));
-        const validUntil = now - ageMs + call.policy.validMs - TICKET_EXPIRY_MARGIN_MS;
+        call.workers.forEach((worker) => step.advice.queriedWorkers.add(worker));
+        const validUntilMs = now - ageMs + call.policy.validMs - TICKET_EXPIRY_MARGIN_MS;
         for (const { worker, ticket } of admissions) {
-            step.advice.admitted.set(worker, { ticket, validUntil });
+            step.advice.admitted.set(worker, { ticket, validUntilMs });
         }
         if (admissions.length === 0 && step.advice.pendingCalls.size === 0) {
-            step.advice.retryAt = now + NO_ADMISSION_BACKOFF_MS;
+            step.advice.retryAtMs = now + NO_ADMISSION_BACKOFF_MS;
         }
         this.#context.recordDecision("decision", "advice received", {
             request: step.job.id,
@@ -410,10 +412,10 @@
         call: AdviceCall,
         admissions: readonly Admission[],
     ): void {
-        const isNew = (worker: WorkerId): boolean => !step.advice.askedWorkers.has(worker);
-        const asked = call.workers.filter((worker) => isNew(worker)).length;
-        const admitted = admissions.filter(({ worker }) => isNew(worker)).length;
-        this.#context.admissionRates.record(call.queue, asked, admitted);
+        const isNew = (worker: WorkerId): boolean => !step.advice.queriedWorkers.has(worker);
+        const queriedCount = call.workers.filter((worker) => isNew(worker)).length;
+        const admittedCount = admissions.filter(({ worker }) => isNew(worker)).length;
+        this.#context.admissionRates.record(call.queue, queriedCount, admittedCount);
     }
 }
 
--- a/dispatch/_worker_failures.ts
+++ b/dispatch/_worker_failures.ts
@@ -56,13 +56,14 @@
      */
     handleReplacement(worker: WorkerState): void {
         const { id, address, isDraining } = worker.record;
-        const { book, clock } = this.#context;
-        const lapsed = this.#context.ledger.attemptsOnExpiredLeases.get(id) ?? [];
+        const { registry, clock } = this.#context;
+        const attemptsOnExpiredLease =
+            this.#context.stateStore.attemptsOnExpiredLeases.get(id) ?? [];
         const crashedAttempts = isDraining
             ? []
-            : [...lapsed, ...computeCrashEvidence([...worker.members.values()])];
+            : [...attemptsOnExpiredLease, ...computeCrashEvidence([...worker.members.values()])];
         if (!isDraining) {
-            book.recordCrash(address, clock.getNow());
+            registry.recordCrash(address, clock.getNow());
         }
         if (crashedAttempts.length > 0) {
             this.#context.recordFact({ type: "workerCrashed", worker: id, under: crashedAttempts });
@@ -71,7 +72,7 @@
                 under: crashedAttempts,
             });
         }
-        crashedAttempts.forEach(({ unit }) => this.#context.board.recordCrash(unit));
+        crashedAttempts.forEach(({ unit }) => this.#context.readySteps.recordCrash(unit));
         this.removeWorker(id, "replaced by another incarnation");
         crashedAttempts.forEach(({ unit }) => this.#attempts.endIfFailed(unit));
     }
@@ -88,7 +89,7 @@
         this.#context.recordDecision("failure", "lease over", {
             worker: id,
             members: members.length,
-            silentMs: Math.round(this.#context.clock.getNow() - worker.lastContactAt),
+            silentMs: Math.round(this.#context.clock.getNow() - worker.lastContactAtMs),
         });
         this.#context.recordFact({
             type: "workerLapsed",
@@ -103,8 +104,8 @@
      *
      * @param id The worker.
      */
-    clearLapse(id: WorkerId): void {
-        if (this.#context.ledger.attemptsOnExpiredLeases.has(id)) {
+    clearLeaseExpiry(id: WorkerId): void {
+        if (this.#context.stateStore.attemptsOnExpiredLeases.has(id)) {
             this.#context.recordFact({ type: "workerAnswered", worker: id });
         }
     }
@@ -116,7 +117,7 @@
      * @param reason Why the worker is considered gone.
      */
     removeWorker(id: WorkerId, reason: string): void {
-        const worker = this.#context.book.findWorker(id);
+        const worker = this.#context.registry.findWorker(id);
         if (worker === undefined) {
             return;
         }
@@ -124,11 +125,11 @@
             worker: id,
             why: reason,
             members: worker.members.size,
-            silentMs: Math.round(this.#context.clock.getNow() - worker.lastContactAt),
+            silentMs: Math.round(this.#context.clock.getNow() - worker.lastContactAtMs),
             draining: worker.record.isDraining,
         });
         this.#context.recordFact({ type: "workerGone", worker: id });
         this.#attempts.endMembers([...worker.members.values()]);
-        this.#context.book.removeWorker(id);
+        this.#context.registry.removeWorker(id);
     }
 }
--- a/dispatch/_worker_poller.ts
+++ b/dispatch/_worker_poller.ts
@@ -55,7 +55,7 @@
      * @returns The poll, or `undefined` if nothing runs there and every end is acknowledged.
      */
     preparePoll(id: WorkerId, mayWait: boolean): PollOrder | undefined {
-        const worker = this.#context.book.findWorker(id);
+        const worker = this.#context.registry.findWorker(id);
         if (worker === undefined) {
             return undefined;
         }
@@ -72,7 +72,7 @@
             // would keep the tasks of an unreachable worker from ever expiring.
             untilMs: worker.isSuspect
                 ? undefined
-                : this.#context.book.grantLease(worker, this.#context.clock.getNow()),
+                : this.#context.registry.grantLease(worker, this.#context.clock.getNow()),
             // A suspect worker is polled without waiting, so that a lost poll is retried soon after
             // the connection recovers.
             waitMs:
@@ -86,11 +86,11 @@
      * Handles a worker's answer to a poll.
      *
      * @param order The poll.
-     * @param sentAt When it was sent, in ms.
+     * @param sentAtMs When it was sent, in ms.
      * @param answer The answer.
      */
-    handlePollAnswer(order: PollOrder, sentAt: number, answer: PollAnswer): void {
-        const worker = this.#context.book.findWorker(order.worker);
+    handlePollAnswer(order: PollOrder, sentAtMs: number, answer: PollAnswer): void {
+        const worker = this.#context.registry.findWorker(order.worker);
         if (worker === undefined) {
             return;
         }
@@ -100,7 +100,7 @@
         }
         if (answer.type === "unanswered" || answer.type === "undelivered") {
             // The worker is not suspect if it has answered a later poll.
-            if (worker.pollAnsweredAt < sentAt) {
+            if (worker.pollAnsweredAtMs < sentAtMs) {
                 this.#failures.setSuspect(worker, answer.cause);
             }
             return;
@@ -117,9 +117,9 @@
             });
             this.#context.recordFreedCapacity(worker);
         }
-        this.#context.book.recordAnswer(worker, answer.clockMs, now);
-        worker.pollAnsweredAt = now;
-        this.#failures.clearLapse(order.worker);
+        this.#context.registry.recordAnswer(worker, answer.clockMs, now);
+        worker.pollAnsweredAtMs = now;
+        this.#failures.clearLeaseExpiry(order.worker);
         worker.acknowledgedCursor = Math.max(worker.acknowledgedCursor, order.cursor);
         answer.ended.forEach((report) => this.#handleEnd(worker, report));
         if (worker.readCursor > worker.durableCursor) {
@@ -128,7 +128,7 @@
         }
         answer.running.forEach((report) => this.#handleRunning(worker, report));
         this.#pacer.update(worker);
-        this.#resolveMissing(worker, order, sentAt, answer);
+        this.#resolveMissing(worker, order, sentAtMs, answer);
     }
 
     /**
@@ -139,7 +139,7 @@
      * @param cursor Number of the newest committed end.
      */
     confirmEnds(id: WorkerId, cursor: number): void {
-        const worker = this.#context.book.findWorker(id);
+        const worker = this.#context.registry.findWorker(id);
         if (worker !== undefined) {
             worker.durableCursor = Math.max(worker.durableCursor, cursor);
         }
@@ -152,7 +152,7 @@
             return;
         }
         if (report.how === "done") {
-            this.#context.book.recordSuccess(worker);
+            this.#context.registry.recordSuccess(worker);
         } else if (report.how === "failed") {
             this.#recordFailure(worker, member);
         }
@@ -165,13 +165,13 @@
      */
     #recordFailure(worker: WorkerState, member: MemberRun): void {
         const now = this.#context.clock.getNow();
-        if (!member.isPerpetual || now - member.startedAt < STARTUP_MS) {
-            this.#context.book.recordFailure(worker, createUnitKey(member.unit), now);
+        if (!member.isPerpetual || now - member.startedAtMs < STARTUP_MS) {
+            this.#context.registry.recordFailure(worker, createUnitKey(member.unit), now);
         }
-        const step = this.#context.board.findStep(createStepKey(member.unit));
+        const step = this.#context.readySteps.findStep(createStepKey(member.unit));
         if (step !== undefined) {
             step.failedWorkers.add(member.worker);
-            step.lastFailureAt = now;
+            step.lastFailureAtMs = now;
         }
     }
 
@@ -181,35 +181,35 @@
             return;
         }
         const now = this.#context.clock.getNow();
-        member.startResolvedAt ??= now;
+        member.startResolvedAtMs ??= now;
         if (member.state === "ordered") {
             member.state = "running";
         }
         member.load = report.load;
-        member.observedRunMs = now - member.startedAt;
+        member.observedRunMs = now - member.startedAtMs;
         this.#recordProgress(worker, member, report.percent, now);
     }
 
     /** Measures the worker's speed from a task's progress relative to its estimate. */
     #recordProgress(worker: WorkerState, member: MemberRun, percent: number, now: number): void {
-        const elapsedMs = now - member.progressAt;
+        const elapsedMs = now - member.progressAtMs;
         if (member.isPerpetual || member.state !== "running" || elapsedMs < MIN_SPEED_SAMPLE_MS) {
             return;
         }
         const completedMs = ((percent - member.progressPercent) / 100) * member.estimateMs;
         // Members of a gang make no progress until all of them have started.
-        if (percent > 0 || now - member.startedAt > STARTUP_MS) {
+        if (percent > 0 || now - member.startedAtMs > STARTUP_MS) {
             worker.speed.record(completedMs, elapsedMs, now);
         }
         member.progressPercent = percent;
-        member.progressAt = now;
+        member.progressAtMs = now;
     }
 
     /** Ends members that should be in the worker's lists but are missing. */
     #resolveMissing(
         worker: WorkerState,
         order: PollOrder,
-        sentAt: number,
+        sentAtMs: number,
         answer: Extract<PollAnswer, { type: "state" }>,
     ): void {
         if (answer.ended.length >= MAX_ENDS_LISTED) {
@@ -220,9 +220,9 @@
             if (member.state === "planned" || listed.has(`${member.name}#${member.attempt}`)) {
                 continue;
             }
-            const isFenced = member.fence < order.fence && member.startResolvedAt === undefined;
+            const isFenced = member.fence < order.fence && member.startResolvedAtMs === undefined;
             const isResolved =
-                member.startResolvedAt !== undefined && member.startResolvedAt < sentAt;
+                member.startResolvedAtMs !== undefined && member.startResolvedAtMs < sentAtMs;
             if (isFenced || isResolved) {
                 this.#attempts.endMember(member, "void", "");
             }
--- a/dispatch/advice_plan.ts
+++ b/dispatch/advice_plan.ts
@@ -97,22 +97,22 @@
 
 /** Tracks the share of workers that the advice service admits, by queue. */
 export class AdmissionRates {
-    readonly #counts = new Map<QueueName, { asked: number; good: number }>();
+    readonly #counts = new Map<QueueName, { queried: number; admitted: number }>();
 
     /**
      * Records an answer.
      *
      * @param queue The queue.
-     * @param asked Number of workers that were asked about for the first time for their step.
-     * @param admitted Number of those workers that were admitted.
+     * @param queriedCount Number of workers that were asked about for the first time for their step.
+     * @param admittedCount Number of those workers that were admitted.
      */
-    record(queue: QueueName, asked: number, admitted: number): void {
+    record(queue: QueueName, queriedCount: number, admittedCount: number): void {
         const counts = this.#counts.get(queue) ?? {
-            asked: PRIOR_WORKER_COUNT,
-            good: PRIOR_WORKER_COUNT * PRIOR_ADMISSION_RATE,
+            queried: PRIOR_WORKER_COUNT,
+            admitted: PRIOR_WORKER_COUNT * PRIOR_ADMISSION_RATE,
         };
-        counts.asked += asked;
-        counts.good += admitted;
+        counts.queried += queriedCount;
+        counts.admitted += admittedCount;
         this.#counts.set(queue, counts);
     }
 
@@ -124,6 +124,6 @@
      */
     get(queue: QueueName): number {
         const counts = this.#counts.get(queue);
-        return counts === undefined ? PRIOR_ADMISSION_RATE : counts.good / counts.asked;
+        return counts === undefined ? PRIOR_ADMISSION_RATE : counts.admitted / counts.queried;
     }
 }
--- a/dispatch/advice_scheduler.ts
+++ b/dispatch/advice_scheduler.ts
@@ -14,46 +14,46 @@
  */
 
 import type { QueueName } from "../configuration/mod.ts";
-import { planLanes, type LaneDemand } from "./lane_plan.ts";
-import type { AdviceCall, LaneId, StepKey } from "./types.ts";
+import { assignFronts, type QueueDemand } from "./front_assignment.ts";
+import type { AdviceCall, FrontId, StepKey } from "./types.ts";
 
 /** Longest duration of a call that may be pipelined on a lane, in ms. */
-const SHORT_CALL_MS = 60;
+const MAX_SHORT_CALL_MS = 60;
 /** Maximum number of concurrent short calls on one lane; hides the network latency. */
-const MAX_SHORT_CALLS_PER_LANE = 2;
+const MAX_SHORT_CALLS_PER_FRONT = 2;
 /** Time constant of the load average, in ms; long enough to keep lane assignments stable. */
 const LOAD_TIME_CONSTANT_MS = 10_000;
 /** Time between two lane plans, in ms. */
-const PLAN_INTERVAL_MS = 2_000;
+const ASSIGNMENT_INTERVAL_MS = 2_000;
 /**
  * Weight of the load of the most urgent queues; gives them spare lanes and short queueing times.
  */
 const URGENT_LOAD_WEIGHT = 2.5;
 /** Backoff of a lane after a failed call, in ms. */
-const FAILED_LANE_BACKOFF_MS = 1_500;
+const FAILED_FRONT_BACKOFF_MS = 1_500;
 
-interface Lane {
-    readonly id: LaneId;
+interface FrontState {
+    readonly id: FrontId;
     readonly calls: Set<number>;
-    pausedUntil: number;
+    pausedUntilMs: number;
 }
 
 interface QueueLoad {
     /** Exponentially decayed sum of call durations, in ms. */
     decayedCallMs: number;
-    updatedAt: number;
+    updatedAtMs: number;
     lastCallMs: number;
     priority: number;
 }
 
 interface WaitingCall {
     readonly call: AdviceCall;
-    readonly addedAt: number;
+    readonly addedAtMs: number;
 }
 
 interface StartedCall extends WaitingCall {
-    readonly lane: Lane;
-    readonly startedAt: number;
+    readonly front: FrontState;
+    readonly startedAtMs: number;
 }
 
 /** Queueing and service time of a call. */
@@ -66,29 +66,29 @@
 
 /** Holds waiting and running calls and assigns lanes to them. */
 export class AdviceScheduler {
-    readonly #lanes = new Map<LaneId, Lane>();
+    readonly #fronts = new Map<FrontId, FrontState>();
     readonly #waiting = new Map<number, WaitingCall>();
     readonly #started = new Map<number, StartedCall>();
     readonly #loads = new Map<QueueName, QueueLoad>();
-    #lanePlan = new Map<QueueName, LaneId[]>();
-    #plannedAt = Number.NEGATIVE_INFINITY;
+    #assignment = new Map<QueueName, FrontId[]>();
+    #assignedAtMs = Number.NEGATIVE_INFINITY;
 
     /**
      * Sets the front instances that can make calls.
      *
      * @param ids The available instances.
      */
-    setLanes(ids: readonly LaneId[]): void {
-        for (const id of this.#lanes.keys()) {
+    setFronts(ids: readonly FrontId[]): void {
+        for (const id of this.#fronts.keys()) {
             if (!ids.includes(id)) {
-                this.#lanes.delete(id);
-                this.#plannedAt = Number.NEGATIVE_INFINITY;
+                this.#fronts.delete(id);
+                this.#assignedAtMs = Number.NEGATIVE_INFINITY;
             }
         }
         for (const id of ids) {
-            if (!this.#lanes.has(id)) {
-                this.#lanes.set(id, { id, calls: new Set(), pausedUntil: 0 });
-                this.#plannedAt = Number.NEGATIVE_INFINITY;
+            if (!this.#fronts.has(id)) {
+                this.#fronts.set(id, { id, calls: new Set(), pausedUntilMs: 0 });
+                this.#assignedAtMs = Number.NEGATIVE_INFINITY;
             }
         }
     }
@@ -101,20 +101,20 @@
      * @param now The current monotonic time, in ms.
      */
     addCall(call: AdviceCall, priority: number, now: number): void {
-        this.#waiting.set(call.id, { call, addedAt: now });
+        this.#waiting.set(call.id, { call, addedAtMs: now });
         const load = this.#loads.get(call.queue) ?? {
             decayedCallMs: 0,
-            updatedAt: now,
+            updatedAtMs: now,
             lastCallMs: 0,
             priority,
         };
         load.lastCallMs = computeCallMs(call);
         load.decayedCallMs = decayLoad(load, now) + load.lastCallMs;
-        load.updatedAt = now;
+        load.updatedAtMs = now;
         load.priority = priority;
         if (!this.#loads.has(call.queue)) {
             this.#loads.set(call.queue, load);
-            this.#plannedAt = Number.NEGATIVE_INFINITY;
+            this.#assignedAtMs = Number.NEGATIVE_INFINITY;
         }
     }
 
@@ -137,20 +137,25 @@
      * @param now The current monotonic time, in ms.
      * @returns The started calls with their lanes.
      */
-    startCalls(now: number): { readonly lane: LaneId; readonly call: AdviceCall }[] {
-        if (this.#waiting.size === 0 || this.#lanes.size === 0) {
+    startCalls(now: number): { readonly front: FrontId; readonly call: AdviceCall }[] {
+        if (this.#waiting.size === 0 || this.#fronts.size === 0) {
             return [];
         }
-        this.#updatePlan(now);
+        this.#updateAssignment(now);
         const waiting = [...this.#waiting.values()].sort((a, b) => a.call.rank - b.call.rank);
-        const started: { lane: LaneId; call: AdviceCall }[] = [];
-        for (const { call, addedAt } of waiting) {
-            const lane = this.#findLane(call, now);
-            if (lane !== undefined) {
+        const started: { front: FrontId; call: AdviceCall }[] = [];
+        for (const { call, addedAtMs } of waiting) {
+            const front = this.#findFront(call, now);
+            if (front !== undefined) {
                 this.#waiting.delete(call.id);
-                lane.calls.add(call.id);
-                this.#started.set(call.id, { call, addedAt, lane, startedAt: now });
-                started.push({ lane: lane.id, call });
+                front.calls.add(call.id);
+                this.#started.set(call.id, {
+                    call,
+                    addedAtMs,
+                    front,
+                    startedAtMs: now,
+                });
+                started.push({ front: front.id, call });
             }
         }
         return started;
@@ -170,30 +175,30 @@
             return undefined;
         }
         this.#started.delete(id);
-        started.lane.calls.delete(id);
+        started.front.calls.delete(id);
         if (!hasAnswer) {
-            started.lane.pausedUntil = now + FAILED_LANE_BACKOFF_MS;
+            started.front.pausedUntilMs = now + FAILED_FRONT_BACKOFF_MS;
         }
         return {
-            queuedMs: Math.round(started.startedAt - started.addedAt),
-            tookMs: Math.round(now - started.startedAt),
+            queuedMs: Math.round(started.startedAtMs - started.addedAtMs),
+            tookMs: Math.round(now - started.startedAtMs),
         };
     }
 
-    #findLane(call: AdviceCall, now: number): Lane | undefined {
-        const assignedLanes = this.#lanePlan.get(call.queue) ?? [];
+    #findFront(call: AdviceCall, now: number): FrontState | undefined {
+        const assignedFronts = this.#assignment.get(call.queue) ?? [];
         const callMs = computeCallMs(call);
-        const maxCalls = callMs <= SHORT_CALL_MS ? MAX_SHORT_CALLS_PER_LANE : 1;
-        const lane = this.#findLeastLoadedLane(assignedLanes, maxCalls, now);
-        if (lane !== undefined) {
-            return lane;
+        const maxCalls = callMs <= MAX_SHORT_CALL_MS ? MAX_SHORT_CALLS_PER_FRONT : 1;
+        const front = this.#findLeastLoadedFront(assignedFronts, maxCalls, now);
+        if (front !== undefined) {
+            return front;
         }
         // A call may borrow an idle lane of a queue with longer calls. The reverse would block
         // short calls behind a long one.
-        for (const [queue, lanes] of this.#lanePlan) {
+        for (const [queue, fronts] of this.#assignment) {
             const ownerCallMs = this.#loads.get(queue)?.lastCallMs ?? 0;
             const borrowed =
-                ownerCallMs >= callMs ? this.#findLeastLoadedLane(lanes, 1, now) : undefined;
+                ownerCallMs >= callMs ? this.#findLeastLoadedFront(fronts, 1, now) : undefined;
             if (borrowed !== undefined) {
                 return borrowed;
             }
@@ -201,28 +206,32 @@
         return undefined;
     }
 
-    #findLeastLoadedLane(ids: readonly LaneId[], maxCalls: number, now: number): Lane | undefined {
-        let leastLoaded: Lane | undefined;
+    #findLeastLoadedFront(
+        ids: readonly FrontId[],
+        maxCalls: number,
+        now: number,
+    ): FrontState | undefined {
+        let leastLoaded: FrontState | undefined;
         for (const id of ids) {
-            const lane = this.#lanes.get(id);
+            const front = this.#fronts.get(id);
             const isFree =
-                lane !== undefined && lane.pausedUntil <= now && lane.calls.size < maxCalls;
-            if (isFree && lane.calls.size < (leastLoaded?.calls.size ?? maxCalls)) {
-                leastLoaded = lane;
+                front !== undefined && front.pausedUntilMs <= now && front.calls.size < maxCalls;
+            if (isFree && front.calls.size < (leastLoaded?.calls.size ?? maxCalls)) {
+                leastLoaded = front;
             }
         }
         return leastLoaded;
     }
 
-    #updatePlan(now: number): void {
-        if (now - this.#plannedAt < PLAN_INTERVAL_MS) {
+    #updateAssignment(now: number): void {
+        if (now - this.#assignedAtMs < ASSIGNMENT_INTERVAL_MS) {
             return;
         }
-        this.#plannedAt = now;
+        this.#assignedAtMs = now;
         const mostUrgentPriority = Math.min(
             ...[...this.#loads.values()].map((load) => load.priority),
         );
-        const demands: LaneDemand[] = [...this.#loads]
+        const demands: QueueDemand[] = [...this.#loads]
             .sort(([a], [b]) => (a < b ? -1 : 1))
             .map(([queue, load]) => ({
                 queue,
@@ -233,7 +242,7 @@
                         load.lastCallMs / LOAD_TIME_CONSTANT_MS) *
                     (load.priority === mostUrgentPriority ? URGENT_LOAD_WEIGHT : 1),
             }));
-        this.#lanePlan = planLanes([...this.#lanes.keys()].sort(), demands);
+        this.#assignment = assignFronts([...this.#fronts.keys()].sort(), demands);
     }
 }
 
@@ -248,5 +257,5 @@
 }
 
 function decayLoad(load: QueueLoad, now: number): number {
-    return load.decayedCallMs * Math.exp(-(now - load.updatedAt) / LOAD_TIME_CONSTANT_MS);
+    return load.decayedCallMs * Math.exp(-(now - load.updatedAtMs) / LOAD_TIME_CONSTANT_MS);
 }
--- a/dispatch/advice_scheduler_test.ts
+++ b/dispatch/advice_scheduler_test.ts
@@ -2,10 +2,10 @@
 import type { QueueName } from "../configuration/mod.ts";
 import type { WorkerId } from "../job/mod.ts";
 import { AdviceScheduler } from "./advice_scheduler.ts";
-import { planLanes } from "./lane_plan.ts";
-import type { AdviceCall, LaneId, StepKey } from "./types.ts";
+import { assignFronts } from "./front_assignment.ts";
+import type { AdviceCall, FrontId, StepKey } from "./types.ts";
 
-const LANES = ["f1", "f2", "f3", "f4", "f5", "f6"] as LaneId[];
+const FRONTS = ["f1", "f2", "f3", "f4", "f5", "f6"] as FrontId[];
 const SLOW_QUEUE = "composites" as QueueName;
 const URGENT_QUEUE = "previews" as QueueName;
 
@@ -21,7 +21,7 @@
 }
 
 test("assigns lanes in proportion to load, at least one per queue", (t) => {
-    const plan = planLanes(LANES, [
+    const plan = assignFronts(FRONTS, [
         { queue: SLOW_QUEUE, load: 1.2 },
         { queue: URGENT_QUEUE, load: 0.3 },
     ]);
@@ -30,7 +30,7 @@
 });
 
 test("queues share lanes if there are fewer lanes than queues", (t) => {
-    const plan = planLanes(["f1"] as LaneId[], [
+    const plan = assignFronts(["f1"] as FrontId[], [
         { queue: SLOW_QUEUE, load: 1 },
         { queue: URGENT_QUEUE, load: 1 },
     ]);
@@ -41,13 +41,13 @@
 test("a burst of slow calls does not occupy the urgent queue's lanes", (t) => {
     // A short urgent call that waits behind a 0.7 s call misses its latency objective.
     const scheduler = new AdviceScheduler();
-    scheduler.setLanes(LANES);
+    scheduler.setFronts(FRONTS);
     scheduler.addCall(buildCall(1, URGENT_QUEUE, 15), 0, 0);
     scheduler.startCalls(0).forEach(({ call }) => scheduler.endCall(call.id, true, 15));
     for (let id = 2; id < 30; id++) {
         scheduler.addCall(buildCall(id, SLOW_QUEUE, 700), 1, 20);
     }
-    t.true(scheduler.startCalls(20).length < LANES.length);
+    t.true(scheduler.startCalls(20).length < FRONTS.length);
     scheduler.addCall(buildCall(100, URGENT_QUEUE, 15), 0, 21);
     t.deepEqual(
         scheduler.startCalls(21).map(({ call }) => call.id),
@@ -57,7 +57,7 @@
 
 test("a lane backs off after a failed call", (t) => {
     const scheduler = new AdviceScheduler();
-    scheduler.setLanes(["f1" as LaneId]);
+    scheduler.setFronts(["f1" as FrontId]);
     scheduler.addCall(buildCall(1, URGENT_QUEUE, 15), 0, 0);
     t.is(scheduler.startCalls(0).length, 1);
     scheduler.endCall(1, false, 100);
--- a/dispatch/crash_loop_test.ts
+++ b/dispatch/crash_loop_test.ts
@@ -203,7 +203,7 @@
     }
     t.is(cluster.runs.length, 6);
     t.deepEqual(
-        cluster.committedLedger.findUnit({ job: JOB as JobId, occurrence: 0, step: 0, unit: 0 })
+        cluster.committedState.findUnit({ job: JOB as JobId, occurrence: 0, step: 0, unit: 0 })
             ?.crashes,
         [],
     );
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -38,7 +38,7 @@
     Admission,
     AdviceCall,
     Heartbeat,
-    LaneId,
+    FrontId,
     PollAnswer,
     PollOrder,
     MemberRun,
@@ -87,9 +87,9 @@
     readonly #evacuator: Evacuator;
     /** Worker clock readings from heartbeats that are not recorded yet. */
     readonly #unrecordedClocks = new Map<WorkerId, number>();
-    #clocksRecordedAt = Number.NEGATIVE_INFINITY;
-    #cleanedUpAt: number;
-    #tickedAt = Number.NEGATIVE_INFINITY;
+    #clocksRecordedAtMs = Number.NEGATIVE_INFINITY;
+    #cleanedUpAtMs: number;
+    #tickedAtMs = Number.NEGATIVE_INFINITY;
 
     /**
      * Takes over from the previous leader: recorded attempts may still run, so every worker is
@@ -105,7 +105,7 @@
         this.#poller = new WorkerPoller(this.#context, this.#attempts, this.#failures);
         this.#placer = new StepPlacer(this.#context, this.#attempts);
         this.#evacuator = new Evacuator(this.#context, this.#attempts);
-        this.#cleanedUpAt = this.#context.clock.getNow();
+        this.#cleanedUpAtMs = this.#context.clock.getNow();
         this.#adoptWorkers();
         this.#attempts.adoptJobs();
         this.#pollAll();
@@ -123,7 +123,7 @@
     /** Counts the accepted jobs of a queue that have not started a task. */
     countPending(queue: QueueName): number {
         let count = 0;
-        for (const job of this.#context.ledger.jobs.values()) {
+        for (const job of this.#context.stateStore.jobs.values()) {
             count += job.queue === queue && job.state === "queued" ? 1 : 0;
         }
         return count;
@@ -136,12 +136,12 @@
      * @returns Why the job can never run, or `undefined` if it is accepted.
      */
     submit(submission: Submission): string | undefined {
-        if (this.#context.ledger.jobs.has(submission.job)) {
+        if (this.#context.stateStore.jobs.has(submission.job)) {
             return undefined;
         }
         const problem = checkFeasible(
             submission.spec,
-            [...this.#context.ledger.workers.values()].filter(
+            [...this.#context.stateStore.workers.values()].filter(
                 (worker) => worker.pool === submission.pool,
             ),
         );
@@ -154,9 +154,9 @@
             return problem;
         }
         this.#context.recordFact({ type: "jobAccepted", ...submission });
-        const job = this.#context.ledger.jobs.get(submission.job);
+        const job = this.#context.stateStore.jobs.get(submission.job);
         if (job !== undefined) {
-            this.#context.board.openJob(job);
+            this.#context.readySteps.openJob(job);
         }
         this.#context.recordDecision("decision", "job accepted", {
             request: submission.job,
@@ -174,7 +174,7 @@
      * @returns Whether the job exists.
      */
     cancel(id: JobId): boolean {
-        const job = this.#context.ledger.jobs.get(id);
+        const job = this.#context.stateStore.jobs.get(id);
         if (job === undefined) {
             return false;
         }
@@ -193,7 +193,7 @@
      * @returns Whether it was applied.
      */
     setConfiguration(configuration: Configuration): boolean {
-        const current = this.#context.ledger.configuration?.version;
+        const current = this.#context.stateStore.configuration?.version;
         if (current !== undefined && configuration.version <= current) {
             return false;
         }
@@ -203,7 +203,7 @@
             before: current,
             queues: configuration.queues.length,
         });
-        this.#context.board.resetMatches();
+        this.#context.readySteps.resetMatches();
         this.#context.isDirty = true;
         return true;
     }
@@ -215,12 +215,12 @@
      */
     handleHeartbeat(heartbeat: Heartbeat): void {
         const { record, sequence, clockMs, leavesInMs } = heartbeat;
-        if (this.#context.ledger.isRemovedWorker(record.id)) {
+        if (this.#context.stateStore.isRemovedWorker(record.id)) {
             return;
         }
         const now = this.#context.clock.getNow();
-        const known = this.#context.ledger.workers.get(record.id);
-        const state = this.#context.book.findWorker(record.id);
+        const known = this.#context.stateStore.workers.get(record.id);
+        const state = this.#context.registry.findWorker(record.id);
         if (state !== undefined && sequence <= state.lastSequence) {
             return;
         }
@@ -256,21 +256,21 @@
             );
             this.#checkAddress(updated);
         }
-        const recorded = this.#context.ledger.workers.get(record.id);
+        const recorded = this.#context.stateStore.workers.get(record.id);
         if (recorded === undefined) {
             return;
         }
         const previousCapacity = state?.record.capacity;
-        const worker = this.#context.book.ensureWorker(recorded, now);
-        const wasUsable = this.#context.book.isUsable(worker, now);
+        const worker = this.#context.registry.ensureWorker(recorded, now);
+        const wasUsable = this.#context.registry.isUsable(worker, now);
         worker.lastSequence = sequence;
-        worker.lastContactAt = now;
-        worker.lastReport = { arrivedAt: now, clockMs };
+        worker.lastContactAtMs = now;
+        worker.lastReport = { arrivedAtMs: now, clockMs };
         if (clockMs !== undefined) {
             this.#unrecordedClocks.set(record.id, clockMs);
         }
         worker.unconfirmedCapacity = unconfirmed;
-        worker.leavesAt = leavesInMs === undefined ? worker.leavesAt : now + leavesInMs;
+        worker.leavesAtMs = leavesInMs === undefined ? worker.leavesAtMs : now + leavesInMs;
         if (worker.isSuspect) {
             // The worker is alive but has not answered orders; it stays suspect until it answers a
             // poll.
@@ -300,7 +300,7 @@
         clockMs: number | undefined,
         capacity: Resources,
     ): void {
-        const known = this.#context.ledger.workers.get(id);
+        const known = this.#context.stateStore.workers.get(id);
         if (known !== undefined) {
             const record = { ...createReport(known), capacity };
             this.handleHeartbeat({ record, sequence, clockMs, leavesInMs: undefined });
@@ -313,7 +313,7 @@
      * @param id The worker.
      */
     handleLeave(id: WorkerId): void {
-        if (this.#context.book.findWorker(id) !== undefined) {
+        if (this.#context.registry.findWorker(id) !== undefined) {
             this.#failures.removeWorker(id, "left");
         }
     }
@@ -321,10 +321,10 @@
     /**
      * Sets the front instances that can call the advice service.
      *
-     * @param lanes The instances.
+     * @param fronts The instances.
      */
-    setLanes(lanes: readonly LaneId[]): void {
-        this.#context.adviceScheduler.setLanes(lanes);
+    setFronts(fronts: readonly FrontId[]): void {
+        this.#context.adviceScheduler.setFronts(fronts);
         this.#context.isDirty = true;
     }
 
@@ -335,14 +335,15 @@
      */
     tick(mayPlace = true): void {
         const now = this.#context.clock.getNow();
-        this.#context.isDirty = this.#context.board.openDueOccurrences() || this.#context.isDirty;
-        for (const worker of this.#context.book.workers) {
+        this.#context.isDirty =
+            this.#context.readySteps.openDueOccurrences() || this.#context.isDirty;
+        for (const worker of this.#context.registry.workers) {
             this.#tickWorker(worker, now);
         }
-        this.#tickedAt = now;
+        this.#tickedAtMs = now;
         this.#recordClocks(now);
-        if (now - this.#cleanedUpAt >= JOB_CLEANUP_INTERVAL_MS) {
-            this.#cleanedUpAt = now;
+        if (now - this.#cleanedUpAtMs >= JOB_CLEANUP_INTERVAL_MS) {
+            this.#cleanedUpAtMs = now;
             this.#removeEndedJobs();
         }
         this.#context.isDirty = true;
@@ -352,7 +353,7 @@
     }
 
     #isConflicting(state: WorkerState, report: WorkerReport, sequence: number): boolean {
-        const pools = this.#context.ledger.configuration?.pools ?? [];
+        const pools = this.#context.stateStore.configuration?.pools ?? [];
         return isConflictingHeartbeat(state, report, {
             sequence,
             isKnownPool: (pool) => pools.some(({ name }) => name === pool),
@@ -361,26 +362,26 @@
 
     #adoptWorkers(): void {
         const now = this.#context.clock.getNow();
-        for (const record of this.#context.ledger.workers.values()) {
-            const worker = this.#context.book.ensureWorker(record, now);
-            worker.inheritedLeaseEndsAt =
+        for (const record of this.#context.stateStore.workers.values()) {
+            const worker = this.#context.registry.ensureWorker(record, now);
+            worker.inheritedLeaseEndsAtMs =
                 now + this.#context.limits.leaseMs * INHERITED_LEASE_FACTOR;
             worker.isSuspect = true;
-            const clockMs = this.#context.ledger.lastReportClocksMs.get(record.id);
-            worker.lastReport = { arrivedAt: Number.NEGATIVE_INFINITY, clockMs };
+            const clockMs = this.#context.stateStore.lastReportClocksMs.get(record.id);
+            worker.lastReport = { arrivedAtMs: Number.NEGATIVE_INFINITY, clockMs };
         }
     }
 
     /** Polls every worker, those with the most tasks first. */
     #pollAll(): void {
-        const workers = [...this.#context.book.workers];
+        const workers = [...this.#context.registry.workers];
         workers.sort((a, b) => b.members.size - a.members.size);
         workers.forEach(({ record }) => this.#context.emit({ type: "look", worker: record.id }));
     }
 
     /** Polls other workers with the same address: all but one of them are earlier incarnations. */
     #checkAddress(record: WorkerReport): void {
-        for (const other of this.#context.book.workers) {
+        for (const other of this.#context.registry.workers) {
             if (other.record.address === record.address && other.record.id !== record.id) {
                 this.#context.emit({ type: "look", worker: other.record.id });
             }
@@ -389,27 +390,27 @@
 
     #tickWorker(worker: WorkerState, now: number): void {
         const sent = [...worker.members.values()].filter((member) => member.state !== "planned");
-        if (sent.length > 0 && this.#context.book.isLeaseOver(worker, now)) {
+        if (sent.length > 0 && this.#context.registry.hasLeaseExpired(worker, now)) {
             this.#failures.expireLease(worker, sent);
         }
         for (const member of worker.members.values()) {
-            if (member.state === "stopping" && now - member.stopSentAt > STOP_RETRY_MS) {
+            if (member.state === "stopping" && now - member.stopSentAtMs > STOP_RETRY_MS) {
                 this.#context.emit({ type: "stop", member });
             }
         }
         if (hasOverdueTask(worker, now)) {
-            worker.extraPollAt = now;
+            worker.extraPollAtMs = now;
             this.#context.emit({ type: "look", worker: worker.record.id });
         }
         this.#evacuator.drainWorker(worker, now);
-        if (worker.pausedUntil > this.#tickedAt && worker.pausedUntil <= now) {
+        if (worker.pausedUntilMs > this.#tickedAtMs && worker.pausedUntilMs <= now) {
             this.#context.recordFreedCapacity(worker);
         }
         const isIdle = worker.members.size === 0;
         if (
             isIdle &&
-            now - worker.lastContactAt > IDLE_WORKER_RETENTION_MS &&
-            Number.isFinite(worker.lastContactAt)
+            now - worker.lastContactAtMs > IDLE_WORKER_RETENTION_MS &&
+            Number.isFinite(worker.lastContactAtMs)
         ) {
             this.#failures.removeWorker(worker.record.id, "no recent heartbeat");
         }
@@ -422,18 +423,18 @@
     #recordClocks(now: number): void {
         if (
             this.#unrecordedClocks.size === 0 ||
-            now - this.#clocksRecordedAt < CLOCK_RECORD_INTERVAL_MS
+            now - this.#clocksRecordedAtMs < CLOCK_RECORD_INTERVAL_MS
         ) {
             return;
         }
-        this.#clocksRecordedAt = now;
+        this.#clocksRecordedAtMs = now;
         this.#context.recordFact({ type: "workersHeard", reports: [...this.#unrecordedClocks] });
         this.#unrecordedClocks.clear();
     }
 
     #removeEndedJobs(): void {
         const before = this.#context.clock.getWallTime() - this.#context.limits.retentionMs;
-        for (const job of this.#context.ledger.jobs.values()) {
+        for (const job of this.#context.stateStore.jobs.values()) {
             if (job.endedAt !== undefined && job.endedAt < before && job.occurrences.size === 0) {
                 this.#context.recordFact({ type: "jobsForgotten", before });
                 return;
@@ -477,8 +478,8 @@
     }
 
     /** See {@link WorkerPoller.handlePollAnswer}. */
-    handlePollAnswer(order: PollOrder, sentAt: number, answer: PollAnswer): void {
-        this.#poller.handlePollAnswer(order, sentAt, answer);
+    handlePollAnswer(order: PollOrder, sentAtMs: number, answer: PollAnswer): void {
+        this.#poller.handlePollAnswer(order, sentAtMs, answer);
     }
 
     /** See {@link WorkerPoller.confirmEnds}. */
--- a/dispatch/dispatcher_test.ts
+++ b/dispatch/dispatcher_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { Dispatcher } from "./dispatcher.ts";
-import type { LaneId } from "./types.ts";
+import type { FrontId } from "./types.ts";
 import type { WorkerId } from "../job/mod.ts";
 import { buildQueue, buildSpec, SimulatedCluster, QUEUE, type OrderFault } from "./_fixtures.ts";
 
@@ -147,7 +147,7 @@
         cluster.runFor(50);
     }
     cluster.runFor(5_000);
-    const failed = [...cluster.committedLedger.jobs.values()].filter(
+    const failed = [...cluster.committedState.jobs.values()].filter(
         (job) => job.state !== "complete",
     );
     t.is(failed.length, 0);
@@ -192,11 +192,11 @@
 test("an advice call is routed through another front when its own is gone", (t) => {
     const queue = buildQueue({ advice: { decideMs: 50, perWorkerMs: 1, validMs: 2_000 } });
     const cluster = new SimulatedCluster({ workers: 2, queues: [queue] });
-    cluster.dispatcher.setLanes([]);
+    cluster.dispatcher.setFronts([]);
     cluster.submit(JOB, buildSpec({ count: 1 }));
     cluster.runFor(500);
     t.is(cluster.runs.length, 0);
-    cluster.dispatcher.setLanes(["front-9" as LaneId]);
+    cluster.dispatcher.setFronts(["front-9" as FrontId]);
     cluster.runFor(1_500);
     t.is(cluster.getJobState(JOB), "complete");
 });
@@ -319,13 +319,13 @@
     cluster.runFor(200);
     const busy = new Set(cluster.runs.map(({ worker }) => worker));
     const nextLeader = new Dispatcher({
-        ledger: cluster.committedLedger.copy(),
+        stateStore: cluster.committedState.copy(),
         clock: { getNow: () => cluster.now, getWallTime: () => cluster.now },
         firstFence: 2_000_000,
     });
-    const looks = nextLeader
+    const polledWorkers = nextLeader
         .takeOutcome()
         .effects.flatMap((effect) => (effect.type === "look" ? [effect.worker] : []));
-    t.is(looks.length, 30);
-    t.deepEqual(new Set(looks.slice(0, busy.size)), busy);
+    t.is(polledWorkers.length, 30);
+    t.deepEqual(new Set(polledWorkers.slice(0, busy.size)), busy);
 });
--- a/dispatch/evacuation.ts
+++ b/dispatch/evacuation.ts
@@ -25,23 +25,26 @@
     /** The current monotonic time, in ms. */
     readonly now: number;
     /** The earliest time at which the worker may leave, on the same clock, in ms. */
-    readonly leavesAt: number;
+    readonly leavesAtMs: number;
 }
 
 /**
  * Selects the tasks to restart on another worker.
  *
  * @param members The tasks on the worker.
- * @param time The departure time of the worker.
+ * @param departure The departure time of the worker.
  * @returns The running tasks that can't finish in time, and all perpetual tasks.
  */
-export function selectForEvacuation(members: Iterable<MemberRun>, time: Departure): MemberRun[] {
-    const remainingMs = Math.max(0, time.leavesAt - time.now);
+export function selectForEvacuation(
+    members: Iterable<MemberRun>,
+    departure: Departure,
+): MemberRun[] {
+    const remainingMs = Math.max(0, departure.leavesAtMs - departure.now);
     return [...members].filter(
         (member) =>
             member.state === "running" &&
             (member.isPerpetual ||
-                computeRemainingMs(member, time.now) > remainingMs * ESTIMATE_OVERRUN_FACTOR),
+                computeRemainingMs(member, departure.now) > remainingMs * ESTIMATE_OVERRUN_FACTOR),
     );
 }
 
@@ -53,10 +56,10 @@
  * @returns The remaining time, in ms; 0 if the task is overdue.
  */
 export function computeRemainingMs(member: MemberRun, now: number): number {
-    const elapsedMs = member.progressAt - member.startedAt;
+    const elapsedMs = member.progressAtMs - member.startedAtMs;
     const totalMs =
         member.progressPercent >= MIN_PROGRESS_PERCENT && elapsedMs > 0
             ? elapsedMs / (member.progressPercent / 100)
             : member.estimateMs;
-    return Math.max(0, totalMs - (now - member.startedAt));
+    return Math.max(0, totalMs - (now - member.startedAtMs));
 }
--- a/dispatch/lane_plan.ts
+++ b/dispatch/front_assignment.ts
@@ -5,7 +5,7 @@
  *
  * @example
  * ```ts
- * import { planLanes } from "./lane_plan.ts";
+ * import { planLanes } from "./front_assignment.ts";
  * const lanes = planLanes(["front-1", "front-2"] as LaneId[], [{ queue, load: 0.4 }]);
  * ```
  *
@@ -13,10 +13,10 @@
  */
 
 import type { QueueName } from "../configuration/mod.ts";
-import type { LaneId } from "./types.ts";
+import type { FrontId } from "./types.ts";
 
 /** The load of one queue. */
-export interface LaneDemand {
+export interface QueueDemand {
     readonly queue: QueueName;
     /** Call time per unit of time; weighted higher for urgent queues. */
     readonly load: number;
@@ -26,35 +26,35 @@
  * Assigns lanes to queues in proportion to their load, at least one each. Queues share lanes if
  * there are fewer lanes than queues.
  *
- * @param lanes The front instances, in a stable order.
+ * @param fronts The front instances, in a stable order.
  * @param demands The queues, in a stable order.
  * @returns The lanes of each queue.
  */
-export function planLanes(
-    lanes: readonly LaneId[],
-    demands: readonly LaneDemand[],
-): Map<QueueName, LaneId[]> {
+export function assignFronts(
+    fronts: readonly FrontId[],
+    demands: readonly QueueDemand[],
+): Map<QueueName, FrontId[]> {
     const counts = demands.map(() => 1);
-    for (let assignedCount = demands.length; assignedCount < lanes.length; assignedCount++) {
+    for (let assignedCount = demands.length; assignedCount < fronts.length; assignedCount++) {
         const mostLoaded = findMostLoaded(demands, counts);
         counts[mostLoaded] = (counts[mostLoaded] ?? 0) + 1;
     }
-    const plan = new Map<QueueName, LaneId[]>();
-    let nextLane = 0;
+    const assignment = new Map<QueueName, FrontId[]>();
+    let nextFront = 0;
     demands.forEach((demand, i) => {
-        const queueLanes: LaneId[] = [];
+        const queueFronts: FrontId[] = [];
         for (let k = 0; k < (counts[i] ?? 0); k++) {
-            const lane = lanes[nextLane++ % Math.max(1, lanes.length)];
-            if (lane !== undefined && !queueLanes.includes(lane)) {
-                queueLanes.push(lane);
+            const front = fronts[nextFront++ % Math.max(1, fronts.length)];
+            if (front !== undefined && !queueFronts.includes(front)) {
+                queueFronts.push(front);
             }
         }
-        plan.set(demand.queue, queueLanes);
+        assignment.set(demand.queue, queueFronts);
     });
-    return plan;
+    return assignment;
 }
 
-function findMostLoaded(demands: readonly LaneDemand[], counts: readonly number[]): number {
+function findMostLoaded(demands: readonly QueueDemand[], counts: readonly number[]): number {
     let mostLoaded = 0;
     let maxLoad = -1;
     demands.forEach((demand, i) => {
--- a/dispatch/heartbeat_conflict_test.ts
+++ b/dispatch/heartbeat_conflict_test.ts
@@ -84,22 +84,22 @@
                 }),
                 { minLength: 1, maxLength: 6 },
             ),
-            (damaged) => {
-                const floor = new SimulatedCluster({ workers: 1, taskMs: 300 });
-                floor.runFor(300);
-                for (const { address, pool, cpu, sequence } of damaged) {
+            (foreignHeartbeats) => {
+                const cluster = new SimulatedCluster({ workers: 1, taskMs: 300 });
+                cluster.runFor(300);
+                for (const { address, pool, cpu, sequence } of foreignHeartbeats) {
                     const capacity = { cpu, memoryMb: 32_000, gpu: 0 };
-                    floor.dispatcher.handleHeartbeat({
+                    cluster.dispatcher.handleHeartbeat({
                         record: buildWorkerReport({ address, pool, capacity }),
                         sequence,
                         clockMs: undefined,
                         leavesInMs: undefined,
                     });
                 }
-                floor.submit("00000000000000a1", buildSpec({ count: 2 }));
-                floor.runFor(7_000);
-                t.is(floor.getJobState("00000000000000a1"), "complete");
-                t.deepEqual(floor.violations, []);
+                cluster.submit("00000000000000a1", buildSpec({ count: 2 }));
+                cluster.runFor(7_000);
+                t.is(cluster.getJobState("00000000000000a1"), "complete");
+                t.deepEqual(cluster.violations, []);
             },
         ),
         { numRuns: 40 },
--- a/dispatch/matching_test.ts
+++ b/dispatch/matching_test.ts
@@ -31,20 +31,20 @@
 }
 
 test("lists only the workers that gained capacity since a version, newest first", (t) => {
-    const book = new WorkerRegistry({ firstFence: 1, leaseMs: 1_000, maxReportAgeMs: 3_500 });
-    const [a, b, c] = ["a", "b", "c"].map((id) => book.ensureWorker(buildRecord(id), 0));
-    const before = book.capacityVersion;
-    t.deepEqual(book.listChangedSince(before), []);
-    book.recordCapacityGain(c!);
-    book.recordCapacityGain(a!);
+    const registry = new WorkerRegistry({ firstFence: 1, leaseMs: 1_000, maxReportAgeMs: 3_500 });
+    const [a, b, c] = ["a", "b", "c"].map((id) => registry.ensureWorker(buildRecord(id), 0));
+    const initialVersion = registry.capacityVersion;
+    t.deepEqual(registry.listChangedSince(initialVersion), []);
+    registry.recordCapacityGain(c!);
+    registry.recordCapacityGain(a!);
     t.deepEqual(
-        book.listChangedSince(before).map((worker) => worker.record.id),
+        registry.listChangedSince(initialVersion).map((worker) => worker.record.id),
         [a!.record.id, c!.record.id],
     );
-    book.removeWorker(a!.record.id);
-    t.deepEqual(book.listChangedSince(before), [c]);
-    t.is(book.listChangedSince(0).length, 2);
-    t.true(book.listChangedSince(0).includes(b!));
+    registry.removeWorker(a!.record.id);
+    t.deepEqual(registry.listChangedSince(initialVersion), [c]);
+    t.is(registry.listChangedSince(0).length, 2);
+    t.true(registry.listChangedSince(0).includes(b!));
 });
 
 test("a waiting task starts when the task that occupies its worker ends", (t) => {
--- a/dispatch/mod.ts
+++ b/dispatch/mod.ts
@@ -14,7 +14,7 @@
 export * from "./advice_scheduler.ts";
 export * from "./dispatcher.ts";
 export * from "./evacuation.ts";
-export * from "./lane_plan.ts";
+export * from "./front_assignment.ts";
 export * from "./placement.ts";
 export * from "./ranking.ts";
 export * from "./reservation.ts";
--- a/dispatch/overdue_tasks.ts
+++ b/dispatch/overdue_tasks.ts
@@ -35,15 +35,15 @@
  * @returns True if a task is overdue and no poll was answered since its expected end.
  */
 export function hasOverdueTask(
-    worker: Pick<WorkerState, "members" | "pollAnsweredAt" | "extraPollAt">,
+    worker: Pick<WorkerState, "members" | "pollAnsweredAtMs" | "extraPollAtMs">,
     now: number,
 ): boolean {
-    if (now - worker.extraPollAt < EXTRA_POLL_INTERVAL_MS) {
+    if (now - worker.extraPollAtMs < EXTRA_POLL_INTERVAL_MS) {
         return false;
     }
     for (const member of worker.members.values()) {
-        const dueAt = computeDueAt(member);
-        if (now > dueAt + OVERDUE_GRACE_MS && worker.pollAnsweredAt < dueAt) {
+        const dueAtMs = computeDueAtMs(member);
+        if (now > dueAtMs + OVERDUE_GRACE_MS && worker.pollAnsweredAtMs < dueAtMs) {
             return true;
         }
     }
@@ -51,12 +51,12 @@
 }
 
 /** Computes a task's expected end; infinite for a perpetual task or one that is not running. */
-function computeDueAt(member: MemberRun): number {
+function computeDueAtMs(member: MemberRun): number {
     if (member.isPerpetual || member.state !== "running") {
         return Number.POSITIVE_INFINITY;
     }
-    const ranMs = member.progressAt - member.startedAt;
-    return member.progressPercent >= MIN_PROGRESS_PERCENT && ranMs > 0
-        ? member.startedAt + (ranMs * 100) / member.progressPercent
-        : member.startedAt + member.estimateMs;
+    const elapsedMs = member.progressAtMs - member.startedAtMs;
+    return member.progressPercent >= MIN_PROGRESS_PERCENT && elapsedMs > 0
+        ? member.startedAtMs + (elapsedMs * 100) / member.progressPercent
+        : member.startedAtMs + member.estimateMs;
 }
--- a/dispatch/ranking_test.ts
+++ b/dispatch/ranking_test.ts
@@ -35,11 +35,11 @@
         getFault: () => (isOutage ? { type: "refused" } : { type: "none" }),
     });
     const needs = { cpu: 4_000, memoryMb: 500, gpu: 0 };
-    const startedAt = new Map<string, number>();
+    const submittedAtMs = new Map<string, number>();
     let count = 0;
     const submit = (): void => {
         const id = `00000000000${(65_536 + count++).toString(16)}`;
-        startedAt.set(id, cluster.now);
+        submittedAtMs.set(id, cluster.now);
         cluster.submit(id, buildSpec({ needs, estimateMs: 300 }));
     };
     for (; cluster.now < 8_000; cluster.runFor(50)) {
@@ -49,13 +49,13 @@
     const newJobs: string[] = [];
     for (const end = cluster.now + 6_000; cluster.now < end; cluster.runFor(60)) {
         submit();
-        newJobs.push([...startedAt.keys()].at(-1) ?? "");
+        newJobs.push([...submittedAtMs.keys()].at(-1) ?? "");
     }
     cluster.runFor(20_000);
     const lateJobs = newJobs.filter((id) => {
         const run = cluster.runs.find((r) => r.task.startsWith(id));
-        return (run?.startedAtMs ?? Number.POSITIVE_INFINITY) - (startedAt.get(id) ?? 0) > 700;
+        return (run?.startedAtMs ?? Number.POSITIVE_INFINITY) - (submittedAtMs.get(id) ?? 0) > 700;
     });
     t.true(lateJobs.length < newJobs.length * 0.35, `${lateJobs.length} of ${newJobs.length} late`);
-    t.true([...startedAt.keys()].every((id) => cluster.getJobState(id) === "complete"));
+    t.true([...submittedAtMs.keys()].every((id) => cluster.getJobState(id) === "complete"));
 });
--- a/dispatch/ready_steps.ts
+++ b/dispatch/ready_steps.ts
@@ -29,13 +29,13 @@
 /** The advice service's answers about a step. */
 export interface StepAdvice {
     /** Workers that a call has named; the answer about a worker never changes. */
-    readonly askedWorkers: Set<WorkerId>;
+    readonly queriedWorkers: Set<WorkerId>;
     /** Workers that may run the step, with their newest ticket. */
-    readonly admitted: Map<WorkerId, { readonly ticket: string; readonly validUntil: number }>;
+    readonly admitted: Map<WorkerId, { readonly ticket: string; readonly validUntilMs: number }>;
     /** IDs of the calls that are queued or in progress. */
     readonly pendingCalls: Set<number>;
     /** No further call is made before this time. */
-    retryAt: number;
+    retryAtMs: number;
 }
 
 /** A step whose dependencies are done. */
@@ -49,7 +49,7 @@
     /** Units that wait for placement. */
     readonly waiting: Set<number>;
     /** When the step became ready, in ms since 1970. */
-    readonly readyAt: number;
+    readonly readyAtMs: number;
     readonly advice: StepAdvice;
     /**
      * Capacity version at which the waiting units were last matched without success; `undefined`
@@ -58,26 +58,26 @@
      */
     matchedVersion: number | undefined;
     /** When the step was last matched with all workers, in ms. */
-    matchedAllAt: number;
+    matchedAllAtMs: number;
     /** Workers reserved for a gang that does not fit yet; empty for other steps. */
     reservedWorkers: ReadonlyMap<WorkerId, number>;
     /** When the step last preempted other tasks, in ms. */
-    preemptedAt: number;
+    preemptedAtMs: number;
     /** Workers on which one of its units failed; retries prefer other workers. */
     readonly failedWorkers: Set<WorkerId>;
     /** When one of its units last failed, in ms. */
-    lastFailureAt: number;
+    lastFailureAtMs: number;
     /**
      * No unit is started before this time, in ms; set after a worker rejected a start as invalid.
      */
-    pausedUntil: number;
+    pausedUntilMs: number;
     /** Whether workers have crashed while running its units. */
     hasCrashes: boolean;
 }
 
 /** Options of {@link ReadySteps}. */
 export interface ReadyStepsOptions {
-    readonly ledger: StateStore;
+    readonly stateStore: StateStore;
     readonly clock: DispatchClock;
 }
 
@@ -88,7 +88,7 @@
 
 /** Ready steps by key, and the schedules of repeating jobs. */
 export class ReadySteps {
-    readonly #ledger: StateStore;
+    readonly #stateStore: StateStore;
     readonly #clock: DispatchClock;
     readonly #steps = new Map<StepKey, ReadyStep>();
     readonly #keysByJob = new Map<JobId, Set<StepKey>>();
@@ -98,7 +98,7 @@
      * @param options The replicated state and the clocks.
      */
     constructor(options: ReadyStepsOptions) {
-        this.#ledger = options.ledger;
+        this.#stateStore = options.stateStore;
         this.#clock = options.clock;
     }
 
@@ -196,7 +196,7 @@
      * @returns The keys of the closed steps.
      */
     handleUnitDone(ref: UnitRef): StepKey[] {
-        const job = this.#ledger.jobs.get(ref.job);
+        const job = this.#stateStore.jobs.get(ref.job);
         const occurrence = job?.occurrences.get(ref.occurrence);
         if (job === undefined || occurrence === undefined || !isStepDone(occurrence, ref.step)) {
             return [];
@@ -234,7 +234,7 @@
         if (spec === undefined) {
             return;
         }
-        const occurrence = this.#ledger.ensureOccurrence(job, number);
+        const occurrence = this.#stateStore.ensureOccurrence(job, number);
         spec.steps.forEach((stepSpec, step) => {
             const key = createStepKey({ job: job.id, occurrence: number, step });
             const isReady = stepSpec.after.every((before) => isStepDone(occurrence, before));
@@ -256,20 +256,20 @@
             ...step,
             queue: step.job.queue,
             waiting,
-            readyAt: this.#clock.getWallTime(),
+            readyAtMs: this.#clock.getWallTime(),
             advice: {
-                askedWorkers: new Set(),
+                queriedWorkers: new Set(),
                 admitted: new Map(),
                 pendingCalls: new Set(),
-                retryAt: 0,
+                retryAtMs: 0,
             },
             matchedVersion: undefined,
-            matchedAllAt: Number.NEGATIVE_INFINITY,
+            matchedAllAtMs: Number.NEGATIVE_INFINITY,
             reservedWorkers: new Map(),
-            preemptedAt: Number.NEGATIVE_INFINITY,
+            preemptedAtMs: Number.NEGATIVE_INFINITY,
             failedWorkers: new Set(),
-            lastFailureAt: Number.NEGATIVE_INFINITY,
-            pausedUntil: Number.NEGATIVE_INFINITY,
+            lastFailureAtMs: Number.NEGATIVE_INFINITY,
+            pausedUntilMs: Number.NEGATIVE_INFINITY,
             hasCrashes: units.some((unit) => unit.crashes.length > 0),
         });
         const keys = this.#keysByJob.get(step.job.id) ?? new Set();
--- a/dispatch/reservation_test.ts
+++ b/dispatch/reservation_test.ts
@@ -47,17 +47,17 @@
         submitBatch();
     }
     const wide = { cpu: 5_000, memoryMb: 500, gpu: 0 };
-    const submittedAt = cluster.now;
+    const submittedAtMs = cluster.now;
     const gang = "00000000000000a1";
     cluster.submit(gang, buildSpec({ count: 4, isGang: true, needs: wide }), GANG_QUEUE);
-    for (; cluster.now < submittedAt + 8_000; cluster.runFor(200)) {
+    for (; cluster.now < submittedAtMs + 8_000; cluster.runFor(200)) {
         submitBatch();
     }
     const started = cluster.runs.find((run) => run.task.startsWith(gang));
-    t.true((started?.startedAtMs ?? Number.POSITIVE_INFINITY) - submittedAt < 3_000);
+    t.true((started?.startedAtMs ?? Number.POSITIVE_INFINITY) - submittedAtMs < 3_000);
     t.is(cluster.getJobState(gang), "complete");
     cluster.runFor(120_000);
-    t.true([...cluster.committedLedger.jobs.values()].every((job) => job.state === "complete"));
+    t.true([...cluster.committedState.jobs.values()].every((job) => job.state === "complete"));
     t.deepEqual(cluster.violations, []);
 });
 
--- a/dispatch/types.ts
+++ b/dispatch/types.ts
@@ -26,7 +26,7 @@
 /** A step of one occurrence, `JOB.OCCURRENCE.STEP`. */
 export type StepKey = Brand<string, "StepKey">;
 /** A front instance that can call the advice service. */
-export type LaneId = Brand<string, "LaneId">;
+export type FrontId = Brand<string, "FrontId">;
 
 /** Clocks, injected so that tests can control time. */
 export interface DispatchClock {
@@ -62,8 +62,8 @@
      * From this time on, every poll answer lists the member if it runs or ran on the worker;
      * `undefined` while a start may still be in flight.
      */
-    startResolvedAt: number | undefined;
-    startedAt: number;
+    startResolvedAtMs: number | undefined;
+    startedAtMs: number;
     /** How long the member had run when its worker last listed it, in ms; 0 before that. */
     observedRunMs: number;
     /**
@@ -74,7 +74,7 @@
     /** Share of its work that is done, in percent, as reported by the worker. */
     progressPercent: number;
     /** When {@link MemberRun.progressPercent} was last reported. */
-    progressAt: number;
+    progressAtMs: number;
     /** The caller's estimate of its duration, in ms. */
     readonly estimateMs: number;
     /** Whether it can be stopped and resumed elsewhere from its checkpoint. */
@@ -89,7 +89,7 @@
     load: number;
     /** The pace that the task was told to work at, in percent; `undefined` if it was never told. */
     pacePercent: number | undefined;
-    stopSentAt: number;
+    stopSentAtMs: number;
     readonly ticket: string | undefined;
 }
 
@@ -213,7 +213,7 @@
     | { readonly type: "watch"; readonly worker: WorkerId }
     /** Polls the worker at once, even if another poll is in progress. */
     | { readonly type: "look"; readonly worker: WorkerId }
-    | { readonly type: "advise"; readonly lane: LaneId; readonly call: AdviceCall }
+    | { readonly type: "advise"; readonly front: FrontId; readonly call: AdviceCall }
     /** Confirms that the ends up to this number are committed, so the worker may discard them. */
     | { readonly type: "acknowledge"; readonly worker: WorkerId; readonly cursor: number };
 
--- a/dispatch/worker_clock.ts
+++ b/dispatch/worker_clock.ts
@@ -18,7 +18,7 @@
 /** The best sample of a worker's clock. */
 export class WorkerClock {
     #clockMs: number | undefined;
-    #sampledAt = 0;
+    #sampledAtMs = 0;
 
     /**
      * Records a clock reading from a worker's message.
@@ -31,7 +31,7 @@
         // reading.
         if (clockMs >= (this.computeEarliest(now) ?? Number.NEGATIVE_INFINITY)) {
             this.#clockMs = clockMs;
-            this.#sampledAt = now;
+            this.#sampledAtMs = now;
         }
     }
 
@@ -45,6 +45,6 @@
         if (this.#clockMs === undefined) {
             return undefined;
         }
-        return this.#clockMs + (now - this.#sampledAt) * (1 - MAX_CLOCK_DRIFT);
+        return this.#clockMs + (now - this.#sampledAtMs) * (1 - MAX_CLOCK_DRIFT);
     }
 }
--- a/dispatch/worker_registry.ts
+++ b/dispatch/worker_registry.ts
@@ -50,7 +50,7 @@
     /** Latest lease end sent to the worker, in ms of the worker's clock. */
     leaseEndWorkerMs: number;
     /** When all leases granted by earlier leaders have expired, in ms of our clock. */
-    inheritedLeaseEndsAt: number;
+    inheritedLeaseEndsAtMs: number;
     readonly reserved: { cpu: number; memoryMb: number; gpu: number };
     readonly members: Map<TaskName, MemberRun>;
     /** Number of the newest task end read from the worker. */
@@ -59,29 +59,29 @@
     durableCursor: number;
     /** Number up to which task ends were acknowledged to the worker. */
     acknowledgedCursor: number;
-    lastContactAt: number;
+    lastContactAtMs: number;
     /** Newest heartbeat: its arrival time, and the worker's clock if it was included. */
-    lastReport: { readonly arrivedAt: number; readonly clockMs: number | undefined };
+    lastReport: { readonly arrivedAtMs: number; readonly clockMs: number | undefined };
     /** Larger capacity from the newest heartbeat that the next one has to confirm. */
     unconfirmedCapacity: Resources | undefined;
     /** When the worker last answered a poll, in ms. */
-    pollAnsweredAt: number;
+    pollAnsweredAtMs: number;
     /** When the worker was last polled because of an overdue task, in ms. */
-    extraPollAt: number;
+    extraPollAtMs: number;
     /** The worker left an order or a poll unanswered and has not answered since. */
     isSuspect: boolean;
     /** The worker gets no new work before this time, in ms. */
-    pausedUntil: number;
+    pausedUntilMs: number;
     /** Consecutive failures of different units since the last success. */
     consecutiveFailures: number;
     lastFailedUnit: string;
-    lastFailureAt: number;
+    lastFailureAtMs: number;
     /** Since when latency has been below the recovery threshold; `undefined` while it is not. */
-    belowTargetSince: number | undefined;
+    belowTargetSinceMs: number | undefined;
     /** Sequence number of the newest heartbeat, used to drop late ones. */
     lastSequence: number;
     /** Earliest end of a draining worker, in ms of our clock, if the worker announced it. */
-    leavesAt: number | undefined;
+    leavesAtMs: number | undefined;
     /**
      * {@link WorkerRegistry.capacityVersion} when the worker last gained capacity or became usable.
      */
@@ -158,25 +158,25 @@
             speed: new WorkerSpeed(),
             fence: this.#nextFence,
             leaseEndWorkerMs: Number.NEGATIVE_INFINITY,
-            inheritedLeaseEndsAt: now,
+            inheritedLeaseEndsAtMs: now,
             reserved: { cpu: 0, memoryMb: 0, gpu: 0 },
             members: new Map(),
             readCursor: 0,
             durableCursor: 0,
             acknowledgedCursor: 0,
-            lastContactAt: Number.NEGATIVE_INFINITY,
-            lastReport: { arrivedAt: Number.NEGATIVE_INFINITY, clockMs: undefined },
+            lastContactAtMs: Number.NEGATIVE_INFINITY,
+            lastReport: { arrivedAtMs: Number.NEGATIVE_INFINITY, clockMs: undefined },
             unconfirmedCapacity: undefined,
-            pollAnsweredAt: Number.NEGATIVE_INFINITY,
-            extraPollAt: Number.NEGATIVE_INFINITY,
+            pollAnsweredAtMs: Number.NEGATIVE_INFINITY,
+            extraPollAtMs: Number.NEGATIVE_INFINITY,
             isSuspect: false,
-            pausedUntil: Number.NEGATIVE_INFINITY,
+            pausedUntilMs: Number.NEGATIVE_INFINITY,
             consecutiveFailures: 0,
             lastFailedUnit: "",
-            lastFailureAt: Number.NEGATIVE_INFINITY,
-            belowTargetSince: undefined,
+            lastFailureAtMs: Number.NEGATIVE_INFINITY,
+            belowTargetSinceMs: undefined,
             lastSequence: -1,
-            leavesAt: undefined,
+            leavesAtMs: undefined,
             capacityVersion: 0,
         };
         this.#workers.set(record.id, state);
@@ -344,8 +344,8 @@
      * @param now Our clock, in ms.
      * @returns True if no task can still run there under a lease.
      */
-    isLeaseOver(worker: WorkerState, now: number): boolean {
-        if (now < worker.inheritedLeaseEndsAt) {
+    hasLeaseExpired(worker: WorkerState, now: number): boolean {
+        if (now < worker.inheritedLeaseEndsAtMs) {
             return false;
         }
         if (worker.leaseEndWorkerMs === Number.NEGATIVE_INFINITY) {
@@ -365,7 +365,7 @@
      * @param now Our clock, in ms.
      */
     recordAnswer(worker: WorkerState, clockMs: number | undefined, now: number): void {
-        worker.lastContactAt = now;
+        worker.lastContactAtMs = now;
         worker.isSuspect = false;
         if (clockMs !== undefined) {
             worker.clock.record(clockMs, now);
@@ -380,7 +380,7 @@
     recordSuccess(worker: WorkerState): void {
         worker.consecutiveFailures = 0;
         worker.lastFailedUnit = "";
-        worker.lastFailureAt = Number.NEGATIVE_INFINITY;
+        worker.lastFailureAtMs = Number.NEGATIVE_INFINITY;
     }
 
     /**
@@ -394,7 +394,7 @@
      * @param now Our clock, in ms.
      */
     recordFailure(worker: WorkerState, unit: string, now: number): void {
-        worker.lastFailureAt = now;
+        worker.lastFailureAtMs = now;
         if (worker.lastFailedUnit === unit) {
             return;
         }
@@ -403,7 +403,7 @@
         const excess = worker.consecutiveFailures - QUARANTINE_THRESHOLD;
         if (excess >= 0) {
             const pauseMs = Math.min(MAX_QUARANTINE_MS, MIN_QUARANTINE_MS * 2 ** excess);
-            worker.pausedUntil = Math.max(worker.pausedUntil, now + pauseMs);
+            worker.pausedUntilMs = Math.max(worker.pausedUntilMs, now + pauseMs);
         }
     }
 
@@ -415,7 +415,7 @@
      * @returns True for a limited time after a failure.
      */
     hasRecentFailure(worker: WorkerState, now: number): boolean {
-        return now - worker.lastFailureAt < RECENT_FAILURE_MS;
+        return now - worker.lastFailureAtMs < RECENT_FAILURE_MS;
     }
 
     /**
@@ -426,7 +426,7 @@
      * @param now Our clock, in ms.
      */
     recordRefusal(worker: WorkerState, now: number): void {
-        worker.pausedUntil = Math.max(worker.pausedUntil, now + REFUSAL_BACKOFF_MS);
+        worker.pausedUntilMs = Math.max(worker.pausedUntilMs, now + REFUSAL_BACKOFF_MS);
     }
 
     /**
@@ -441,8 +441,8 @@
         return (
             !worker.record.isDraining &&
             !worker.isSuspect &&
-            now >= worker.pausedUntil &&
-            now - worker.lastContactAt < CONTACT_TIMEOUT_MS &&
+            now >= worker.pausedUntilMs &&
+            now - worker.lastContactAtMs < CONTACT_TIMEOUT_MS &&
             this.hasFreshReport(worker, now) &&
             worker.clock.computeEarliest(now) !== undefined
         );
@@ -460,7 +460,7 @@
 function computeReportAgeMs({ lastReport: report, clock }: WorkerState, now: number): number {
     const clockMs = clock.computeEarliest(now);
     return clockMs === undefined || report.clockMs === undefined
-        ? now - report.arrivedAt
+        ? now - report.arrivedAtMs
         : clockMs - report.clockMs;
 }
 
--- a/dispatch/worker_speed.ts
+++ b/dispatch/worker_speed.ts
@@ -28,7 +28,7 @@
 export class WorkerSpeed {
     #completedMs = 0;
     #elapsedMs = 0;
-    #recordedAt = Number.NEGATIVE_INFINITY;
+    #recordedAtMs = Number.NEGATIVE_INFINITY;
 
     /**
      * Records a task's progress.
@@ -38,10 +38,10 @@
      * @param now Our clock, in ms.
      */
     record(completedMs: number, elapsedMs: number, now: number): void {
-        const decay = Math.exp(-(now - this.#recordedAt) / DECAY_MS);
+        const decay = Math.exp(-(now - this.#recordedAtMs) / DECAY_MS);
         this.#completedMs = this.#completedMs * decay + completedMs;
         this.#elapsedMs = this.#elapsedMs * decay + elapsedMs;
-        this.#recordedAt = now;
+        this.#recordedAtMs = now;
     }
 
     /**
@@ -51,7 +51,7 @@
      * @returns 1 for normal speed or too few samples, 2 for slow, 3 for stalled.
      */
     computeSpeedRank(now: number): number {
-        if (now - this.#recordedAt > EXPIRY_MS || this.#elapsedMs < MIN_OBSERVED_MS) {
+        if (now - this.#recordedAtMs > EXPIRY_MS || this.#elapsedMs < MIN_OBSERVED_MS) {
             return 1;
         }
         const speed = this.#completedMs / this.#elapsedMs;
--- a/dispatch/zone_ranking_test.ts
+++ b/dispatch/zone_ranking_test.ts
@@ -34,7 +34,7 @@
 function listZones(cluster: SimulatedCluster, job: string): string[] {
     return cluster.runs
         .filter((run) => run.task.startsWith(job))
-        .map((run) => cluster.committedLedger.workers.get(run.worker)?.zone ?? "");
+        .map((run) => cluster.committedState.workers.get(run.worker)?.zone ?? "");
 }
 
 test("ranks zones by tasks of the step, then by free CPU", (t) => {
