--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -241,7 +241,7 @@
      */
     handleKeepAlives(keepAlives: readonly KeepAlive[]): void {
         for (const { worker, sequence, clockMs, capacity } of keepAlives) {
-            this.#dispatcher.handleUnchangedHeartbeat(worker, sequence, clockMs, capacity);
+            this.#dispatcher.handleKeepAlive(worker, sequence, clockMs, capacity);
         }
         this.#flushInBackground();
     }
--- a/dispatch/capacity_test.ts
+++ b/dispatch/capacity_test.ts
@@ -205,7 +205,7 @@
     cluster.dropHeartbeats("w1" as WorkerId);
     cluster.setCapacity("w1" as WorkerId, REDUCED_CAPACITY);
     for (let i = 0; i < 8; i++) {
-        cluster.dispatcher.handleUnchangedHeartbeat(
+        cluster.dispatcher.handleKeepAlive(
             "w1" as WorkerId,
             100 + i,
             cluster.now,
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -294,7 +294,7 @@
      * @param clockMs The worker's clock when the heartbeat was sent.
      * @param capacity The reported capacity, which may differ from what this leader has recorded.
      */
-    handleUnchangedHeartbeat(
+    handleKeepAlive(
         id: WorkerId,
         sequence: number,
         clockMs: number | undefined,
