--- a/dispatch/_builders.ts
+++ b/dispatch/_builders.ts
@@ -103,7 +103,7 @@
 }
 
 /**
- * Builds the ledger's record of a worker.
+ * Builds the stored record of a worker.
  *
  * @param overrides Report fields that differ from the default worker.
  * @returns The record.
--- a/dispatch/_candidates.ts
+++ b/dispatch/_candidates.ts
@@ -31,7 +31,7 @@
 /** The usable workers of a step's pool, by admission. */
 export interface StepCandidates {
     readonly admitted: Candidate[];
-    /** Workers that the advice service has not been asked about. */
+    /** Workers that no answered advice call has included. */
     readonly unqueried: Candidate[];
     /** Admitted workers whose ticket has expired. */
     readonly expired: Candidate[];
--- a/dispatch/_context.ts
+++ b/dispatch/_context.ts
@@ -1,11 +1,11 @@
 /**
- * State that the parts of the dispatcher share: the ledger, the clock, the worker and step indexes,
- * and the pending facts and effects.
+ * State that the parts of the dispatcher share: the state store, the clocks, the worker and step
+ * indexes, and the pending facts and effects.
  *
  * @example
  * ```ts
  * import { DispatchContext } from "./_context.ts";
- * const context = new DispatchContext({ ledger, clock, firstFence: 1_000_000 });
+ * const context = new DispatchContext({ stateStore, clock, firstFence: 1_000_000 });
  * context.emit({ type: "look", worker });
  * ```
  *
--- a/dispatch/_crash_isolation.ts
+++ b/dispatch/_crash_isolation.ts
@@ -30,7 +30,7 @@
 const MAX_ISOLATION_WAIT_MS = 3_000;
 /** One worker out of this many may be reserved for suspects; at least one always may. */
 const WORKERS_PER_RESERVATION = 8;
-/** Minimum time between two extra requests for a worker's state, in ms. */
+/** Minimum time between two extra polls of a worker, in ms. */
 const PROBE_INTERVAL_MS = 250;
 
 /** Manages the isolated starts of one leader. */
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Prepares a placement round: drops stale reservations and waiting units, and requests the
-     * state of workers whose tasks may have outlasted their start.
+     * Prepares a placement round: drops stale reservations and waiting units, and polls workers
+     * whose tasks may have outlasted their start.
      *
      * @param now The current monotonic time, in ms.
      */
@@ -230,8 +230,8 @@
     }
 
     /**
-     * Lists the tasks that keep other tasks off their workers, and requests the state of workers
-     * whose tasks may have outlasted their start.
+     * Lists the members that still run in isolation, and polls workers whose tasks may have
+     * outlasted their start.
      */
     #listIsolatedMembers(now: number): MemberRun[] {
         const isolated: MemberRun[] = [];
--- a/dispatch/_fixtures.ts
+++ b/dispatch/_fixtures.ts
@@ -39,7 +39,7 @@
 const POLL_INTERVAL_MS = 50;
 const TICK_INTERVAL_MS = 100;
 const ORDER_TIMEOUT_MS = 400;
-/** Time added to a look's own wait before the look times out, in ms. */
+/** Time added to a poll's own wait before the poll times out, in ms. */
 const POLL_TIMEOUT_MARGIN_MS = 500;
 const FENCES_PER_TERM = 1_000_000;
 const HEARTBEAT_INTERVAL_MS = 1_500;
--- a/dispatch/_gang_reservations.ts
+++ b/dispatch/_gang_reservations.ts
@@ -73,7 +73,7 @@
 
     /**
      * Checks whether a worker is reserved for a gang with a lower rank than a step. Gangs of the
-     * most urgent queue don't keep others off, and steps of more urgent queues ignore reservations.
+     * most urgent queue don't block others, and steps of more urgent queues ignore reservations.
      *
      * @param id The worker.
      * @param entry The step.
--- a/dispatch/_orders.ts
+++ b/dispatch/_orders.ts
@@ -275,8 +275,8 @@
             cause,
         });
         if (member.startSends < MAX_START_SENDS && member.state === "ordered") {
-            // Starts are idempotent: resending over another connection tells a lost answer from a
-            // lost worker.
+            // Starts are idempotent: resending over another connection distinguishes a lost answer
+            // from a lost worker.
             this.#context.emit({ type: "start", member });
             return;
         }
--- a/dispatch/_placer.ts
+++ b/dispatch/_placer.ts
@@ -309,8 +309,8 @@
             return;
         }
         if (scope === "changed") {
-            // Asks about all workers at once: the call costs hardly more than one for the changed
-            // workers.
+            // Requests advice on all workers at once: the call costs hardly more than one for the
+            // changed workers.
             const allCandidates = this.#listCandidates(entry, this.#context.registry.workers, now);
             workerGroups = this.#planAdvice(step, queue, allCandidates);
         }
@@ -328,9 +328,7 @@
         }
     }
 
-    /**
-     * @returns The workers to ask about, one list per call.
-     */
+    /** Plans the advice calls for a step and returns the workers of each call. */
     #planAdvice(step: ReadyStep, queue: QueueConfig, candidates: StepCandidates): WorkerId[][] {
         const { advice: policy } = queue;
         if (policy === undefined) {
@@ -351,8 +349,8 @@
             return [];
         }
         const known = [...candidates.expired, ...candidates.admitted];
-        // A gang with reserved workers asks during preemption, so that its tickets are still valid
-        // afterwards.
+        // A gang with reserved workers requests tickets during preemption, so that they are still
+        // valid afterwards.
         const isReserving = step.reservedWorkers.size > 0 && candidates.admitted.length === 0;
         if (!isReserving && !hasCapacityForUnit(step, known)) {
             return [];
--- a/dispatch/advice_plan.ts
+++ b/dispatch/advice_plan.ts
@@ -1,5 +1,5 @@
 /**
- * Plans which workers a step asks the advice service about, and in how many concurrent calls.
+ * Plans the advice calls of a step: which workers they cover, and how many calls run concurrently.
  * Sequential calls would let the first tickets of a wide gang expire before the last ones arrive.
  *
  * @example
@@ -14,7 +14,7 @@
 import type { AdvicePolicy, QueueName } from "../configuration/mod.ts";
 import type { WorkerId } from "../job/mod.ts";
 
-/** A worker to ask the advice service about. */
+/** A worker that an advice call may include. */
 export interface AdviceCandidate {
     readonly id: WorkerId;
     /** Number of the step's tasks that currently fit on the worker. */
@@ -49,7 +49,7 @@
  * Plans the calls for a step.
  *
  * @param request The step's needs and the workers.
- * @returns The workers of each call; empty if there are no workers to ask about.
+ * @returns The workers of each call; empty if there are no workers.
  */
 export function planAdvice(request: AdviceRequest): WorkerId[][] {
     const workersPerCall = computeWorkersPerCall(request.policy);
@@ -103,7 +103,7 @@
      * Records an answer.
      *
      * @param queue The queue.
-     * @param queriedCount Number of workers that were asked about for the first time for their step.
+     * @param queriedCount Number of workers that a call of their step included for the first time.
      * @param admittedCount Number of those workers that were admitted.
      */
     record(queue: QueueName, queriedCount: number, admittedCount: number): void {
--- a/dispatch/advice_scheduler.ts
+++ b/dispatch/advice_scheduler.ts
@@ -5,7 +5,7 @@
  * ```ts
  * import { AdviceScheduler } from "./advice_scheduler.ts";
  * const scheduler = new AdviceScheduler();
- * scheduler.setLanes(["front-1" as LaneId]);
+ * scheduler.setFronts(["front-1" as FrontId]);
  * scheduler.addCall(call, priority, now);
  * const started = scheduler.startCalls(now);
  * ```
@@ -17,19 +17,19 @@
 import { assignFronts, type QueueDemand } from "./front_assignment.ts";
 import type { AdviceCall, FrontId, StepKey } from "./types.ts";
 
-/** Longest duration of a call that may be pipelined on a lane, in ms. */
+/** Longest duration of a call that may be pipelined on a front, in ms. */
 const MAX_SHORT_CALL_MS = 60;
-/** Maximum number of concurrent short calls on one lane; hides the network latency. */
+/** Maximum number of concurrent short calls on one front; hides the network latency. */
 const MAX_SHORT_CALLS_PER_FRONT = 2;
-/** Time constant of the load average, in ms; long enough to keep lane assignments stable. */
+/** Time constant of the load average, in ms; long enough to keep the assignment stable. */
 const LOAD_TIME_CONSTANT_MS = 10_000;
-/** Time between two lane plans, in ms. */
+/** Time between two assignments of fronts to queues, in ms. */
 const ASSIGNMENT_INTERVAL_MS = 2_000;
 /**
- * Weight of the load of the most urgent queues; gives them spare lanes and short queueing times.
+ * Weight of the load of the most urgent queues; gives them spare fronts and short queueing times.
  */
 const URGENT_LOAD_WEIGHT = 2.5;
-/** Backoff of a lane after a failed call, in ms. */
+/** Backoff of a front after a failed call, in ms. */
 const FAILED_FRONT_BACKOFF_MS = 1_500;
 
 interface FrontState {
@@ -58,13 +58,13 @@
 
 /** Queueing and service time of a call. */
 export interface CallTimes {
-    /** Time until a lane was free, in ms. */
+    /** Time until a front was free, in ms. */
     readonly queuedMs: number;
     /** Time from the start of the call to its answer, in ms. */
     readonly tookMs: number;
 }
 
-/** Holds waiting and running calls and assigns lanes to them. */
+/** Queues advice calls and assigns them to fronts. */
 export class AdviceScheduler {
     readonly #fronts = new Map<FrontId, FrontState>();
     readonly #waiting = new Map<number, WaitingCall>();
@@ -132,10 +132,10 @@
     }
 
     /**
-     * Starts as many calls as there are free lanes, in order of rank.
+     * Starts as many calls as there are free fronts, in order of rank.
      *
      * @param now The current monotonic time, in ms.
-     * @returns The started calls with their lanes.
+     * @returns The started calls with their fronts.
      */
     startCalls(now: number): { readonly front: FrontId; readonly call: AdviceCall }[] {
         if (this.#waiting.size === 0 || this.#fronts.size === 0) {
@@ -162,10 +162,10 @@
     }
 
     /**
-     * Ends a call and frees its lane.
+     * Ends a call and frees its front.
      *
      * @param id The call.
-     * @param hasAnswer Whether the service answered; if not, the lane backs off.
+     * @param hasAnswer Whether the service answered; if not, the front backs off.
      * @param now The current monotonic time, in ms.
      * @returns The times of the call; `undefined` if it was not running.
      */
@@ -193,7 +193,7 @@
         if (front !== undefined) {
             return front;
         }
-        // A call may borrow an idle lane of a queue with longer calls. The reverse would block
+        // A call may borrow an idle front of a queue with longer calls. The reverse would block
         // short calls behind a long one.
         for (const [queue, fronts] of this.#assignment) {
             const ownerCallMs = this.#loads.get(queue)?.lastCallMs ?? 0;
--- a/dispatch/capacity_test.ts
+++ b/dispatch/capacity_test.ts
@@ -188,7 +188,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-// Guards against a false report of smaller capacity that disables a worker for good.
+// Guards against a false report of smaller capacity that disables a worker permanently.
 test("a falsely reported smaller capacity lasts until the worker's own next heartbeats", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 300 });
     cluster.runFor(1_000);
@@ -198,7 +198,7 @@
     t.is(cluster.getJobState(JOB), "complete");
 });
 
-// Guards against a member that holds an outdated capacity and forwards a heartbeat as unchanged.
+// Guards against a control instance whose outdated state makes a change look like a keep-alive.
 test("a heartbeat forwarded as unchanged still reports its own capacity", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 700 });
     cluster.runFor(1_600);
--- a/dispatch/crash_loop.ts
+++ b/dispatch/crash_loop.ts
@@ -1,6 +1,6 @@
 /**
- * Detects units that crash their workers. Most tasks on a crashed worker are innocent, so a unit is
- * failed only after crashes that nothing else explains, or after too many crashes.
+ * Detects units that crash their workers. Most tasks on a crashed worker did not cause the crash,
+ * so a unit is failed only after crashes that nothing else explains, or after too many crashes.
  *
  * @example
  * ```ts
@@ -27,7 +27,7 @@
 const FULL_ISOLATION_CRASHES = 3;
 
 /**
- * Tells whether a run is past its startup.
+ * Returns whether a run is past its startup.
  *
  * @param member The run.
  * @returns True once its worker listed it long enough after its start.
@@ -61,7 +61,7 @@
 }
 
 /**
- * Tells whether a unit keeps crashing its workers.
+ * Returns whether a unit keeps crashing its workers.
  *
  * @param crashes The unit's crash history.
  * @returns True if the unit should be failed.
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -5,7 +5,7 @@
  * @example
  * ```ts
  * import { Dispatcher } from "./dispatcher.ts";
- * const dispatcher = new Dispatcher({ ledger, clock, firstFence: term * 1_000_000 });
+ * const dispatcher = new Dispatcher({ stateStore, clock, firstFence: term * 1_000_000 });
  * dispatcher.submit({ job, queue, pool, spec });
  * dispatcher.placeWaiting();
  * const { facts, effects } = dispatcher.takeOutcome();
@@ -73,10 +73,10 @@
  * Time between two facts that record the workers' clocks, in ms; a third of a heartbeat interval.
  */
 const CLOCK_RECORD_INTERVAL_MS = 500;
-/** Scales a lease to our clock for the slowest worker clock that {@link WorkerClock} allows for. */
+/** Scales a lease to the leader's clock, for the slowest clock that `worker_clock.ts` allows. */
 const INHERITED_LEASE_FACTOR = 1 / 0.98;
 
-/** Turns inputs into scheduling decisions while its process leads. */
+/** Makes the scheduling decisions of one leader. */
 export class Dispatcher {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
@@ -287,7 +287,7 @@
     }
 
     /**
-     * Handles a heartbeat whose report is unchanged.
+     * Handles a keep-alive: a heartbeat whose report is unchanged.
      *
      * @param id The worker.
      * @param sequence Sequence number, which increases with each heartbeat of the worker.
@@ -503,7 +503,7 @@
 }
 
 /**
- * Tells whether a heartbeat's report matches the worker's record.
+ * Returns whether a heartbeat's report matches the worker's record.
  *
  * @param record The worker's record.
  * @param report The heartbeat's report.
--- a/dispatch/evacuation.ts
+++ b/dispatch/evacuation.ts
@@ -4,7 +4,7 @@
  * @example
  * ```ts
  * import { selectForEvacuation } from "./evacuation.ts";
- * const members = selectForEvacuation(worker.members.values(), { now, leavesAt });
+ * const members = selectForEvacuation(worker.members.values(), { now, leavesAtMs });
  * ```
  *
  * @module
--- a/dispatch/front_assignment.ts
+++ b/dispatch/front_assignment.ts
@@ -1,12 +1,11 @@
 /**
- * Assigns front instances ("lanes") to queues. The advice service handles one call at a time per
- * instance, so each queue gets its own lanes to keep short urgent calls from waiting behind long
- * ones.
+ * Assigns front instances to queues. The advice service handles one call at a time per instance, so
+ * each queue gets its own fronts to keep short urgent calls from waiting behind long ones.
  *
  * @example
  * ```ts
- * import { planLanes } from "./front_assignment.ts";
- * const lanes = planLanes(["front-1", "front-2"] as LaneId[], [{ queue, load: 0.4 }]);
+ * import { assignFronts } from "./front_assignment.ts";
+ * const fronts = assignFronts(["front-1", "front-2"] as FrontId[], [{ queue, load: 0.4 }]);
  * ```
  *
  * @module
@@ -23,12 +22,12 @@
 }
 
 /**
- * Assigns lanes to queues in proportion to their load, at least one each. Queues share lanes if
- * there are fewer lanes than queues.
+ * Assigns fronts to queues in proportion to their load, at least one each. Queues share fronts if
+ * there are fewer fronts than queues.
  *
  * @param fronts The front instances, in a stable order.
  * @param demands The queues, in a stable order.
- * @returns The lanes of each queue.
+ * @returns The fronts of each queue.
  */
 export function assignFronts(
     fronts: readonly FrontId[],
--- a/dispatch/heartbeat_conflict.ts
+++ b/dispatch/heartbeat_conflict.ts
@@ -30,8 +30,8 @@
 }
 
 /**
- * Tells whether a heartbeat conflicts with its worker's record. Address and pool are fixed for one
- * incarnation. A wrong record can still be replaced: if its pool is not configured, or if the
+ * Returns whether a heartbeat conflicts with its worker's record. Address and pool are fixed for
+ * one incarnation. A wrong record can still be replaced: if its pool is not configured, or if the
  * worker is suspect and runs nothing.
  *
  * @param known The worker.
--- a/dispatch/overdue_tasks.ts
+++ b/dispatch/overdue_tasks.ts
@@ -28,10 +28,10 @@
 const MIN_PROGRESS_PERCENT = 5;
 
 /**
- * Tells whether a worker should get an extra poll because of an overdue task.
+ * Returns whether a worker should get an extra poll because of an overdue task.
  *
  * @param worker The worker.
- * @param now Our clock, in ms.
+ * @param now The current monotonic time, in ms.
  * @returns True if a task is overdue and no poll was answered since its expected end.
  */
 export function hasOverdueTask(
--- a/dispatch/placement.ts
+++ b/dispatch/placement.ts
@@ -21,7 +21,7 @@
     readonly zone: string;
     /** Number of tasks of the step that already run on the worker, where the step limits them. */
     tasksOfStep: number;
-    /** Whether the worker holds the step's data. */
+    /** Whether the worker stores the step's data. */
     readonly isDataLocal: boolean;
     /** Slowdown relative to other workers, 1 for equal speed. */
     readonly slowness: number;
--- a/dispatch/ready_steps.ts
+++ b/dispatch/ready_steps.ts
@@ -5,7 +5,7 @@
  * @example
  * ```ts
  * import { ReadySteps } from "./ready_steps.ts";
- * const readySteps = new ReadySteps({ ledger, clock });
+ * const readySteps = new ReadySteps({ stateStore, clock });
  * readySteps.openJob(job);
  * const steps = [...readySteps.steps];
  * ```
@@ -28,13 +28,13 @@
 
 /** The advice service's answers about a step. */
 export interface StepAdvice {
-    /** Workers that a call has named; the answer about a worker never changes. */
+    /** Workers in the answered calls; the answer for a worker never changes. */
     readonly queriedWorkers: Set<WorkerId>;
-    /** Workers that may run the step, with their newest ticket. */
+    /** Workers that may run the step, with their newest ticket and its expiry, in ms. */
     readonly admitted: Map<WorkerId, { readonly ticket: string; readonly validUntilMs: number }>;
     /** IDs of the calls that are queued or in progress. */
     readonly pendingCalls: Set<number>;
-    /** No further call is made before this time. */
+    /** No further call is made before this time, in ms. */
     retryAtMs: number;
 }
 
--- a/dispatch/reported_capacity.ts
+++ b/dispatch/reported_capacity.ts
@@ -44,7 +44,7 @@
 }
 
 /**
- * Tells whether two amounts of resources are equal.
+ * Returns whether two amounts of resources are equal.
  *
  * @param a The first amount.
  * @param b The second amount.
--- a/dispatch/retry_placement.ts
+++ b/dispatch/retry_placement.ts
@@ -5,7 +5,7 @@
  * @example
  * ```ts
  * import { selectForRetry } from "./retry_placement.ts";
- * const retryCandidates = selectForRetry(candidates, now - step.failedAt);
+ * const retryCandidates = selectForRetry(candidates, now - step.lastFailureAtMs);
  * ```
  *
  * @module
--- a/dispatch/types.ts
+++ b/dispatch/types.ts
@@ -38,8 +38,8 @@
 
 /**
  * State of a member. `planned`: its fact is not committed yet and no order was sent. `ordered`: a
- * start was sent but not answered. `running`: the worker confirmed the start. `stopping`: it was
- * told to stop.
+ * start was sent but not answered. `running`: the worker confirmed the start. `stopping`: it is
+ * being stopped.
  */
 export type MemberState = "planned" | "ordered" | "running" | "stopping";
 
@@ -54,13 +54,13 @@
     readonly reserved: Resources;
     readonly priority: number;
     state: MemberState;
-    /** How often the start order was sent. */
+    /** Number of times that the start order was sent. */
     startSends: number;
     /** Fencing token of the newest start order; 0 if an earlier leader may have sent it. */
     fence: number;
     /**
      * From this time on, every poll answer lists the member if it runs or ran on the worker;
-     * `undefined` while a start may still be in flight.
+     * `undefined` while a start may still be in flight. In ms.
      */
     startResolvedAtMs: number | undefined;
     startedAtMs: number;
@@ -73,7 +73,7 @@
     readonly isolationMs: number;
     /** Share of its work that is done, in percent, as reported by the worker. */
     progressPercent: number;
-    /** When {@link MemberRun.progressPercent} was last reported. */
+    /** When {@link MemberRun.progressPercent} was last reported, in ms. */
     progressAtMs: number;
     /** The caller's estimate of its duration, in ms. */
     readonly estimateMs: number;
@@ -87,7 +87,7 @@
     readonly targetMs: number;
     /** Last reported load: tail latency in ms for a serving task, else CPU use. */
     load: number;
-    /** The pace that the task was told to work at, in percent; `undefined` if it was never told. */
+    /** Newest pace that was ordered, in percent of full speed; `undefined` if unknown. */
     pacePercent: number | undefined;
     stopSentAtMs: number;
     readonly ticket: string | undefined;
@@ -121,7 +121,7 @@
     readonly percent: number;
 }
 
-/** A poll that renews the lease and asks for running and ended tasks. */
+/** A poll that renews the lease and requests the running and ended tasks. */
 export interface PollOrder {
     readonly worker: WorkerId;
     readonly address: string;
--- a/dispatch/worker_clock.ts
+++ b/dispatch/worker_clock.ts
@@ -12,7 +12,7 @@
  * @module
  */
 
-/** Largest rate by which a worker's clock may run slower than ours, as the worker API allows. */
+/** Maximum rate by which the worker API allows a worker's clock to run slower than the leader's. */
 const MAX_CLOCK_DRIFT = 0.02;
 
 /** The best sample of a worker's clock. */
@@ -24,7 +24,7 @@
      * Records a clock reading from a worker's message.
      *
      * @param clockMs The worker's clock, in ms.
-     * @param now When the message arrived, in ms of our clock.
+     * @param now When the message arrived, in ms of the leader's clock.
      */
     record(clockMs: number, now: number): void {
         // Keep the sample that yields the later time; a delayed message carries an outdated
@@ -38,7 +38,7 @@
     /**
      * Computes the earliest time that the worker's clock can show now.
      *
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      * @returns The lower bound in ms, or `undefined` before the first sample.
      */
     computeEarliest(now: number): number | undefined {
--- a/dispatch/worker_registry.ts
+++ b/dispatch/worker_registry.ts
@@ -49,7 +49,7 @@
     fence: number;
     /** Latest lease end sent to the worker, in ms of the worker's clock. */
     leaseEndWorkerMs: number;
-    /** When all leases granted by earlier leaders have expired, in ms of our clock. */
+    /** When all leases granted by earlier leaders have expired, in ms of the leader's clock. */
     inheritedLeaseEndsAtMs: number;
     readonly reserved: { cpu: number; memoryMb: number; gpu: number };
     readonly members: Map<TaskName, MemberRun>;
@@ -68,7 +68,7 @@
     pollAnsweredAtMs: number;
     /** When the worker was last polled because of an overdue task, in ms. */
     extraPollAtMs: number;
-    /** The worker left an order or a poll unanswered and has not answered since. */
+    /** Whether the worker left an order or poll unanswered and has not answered since. */
     isSuspect: boolean;
     /** The worker gets no new work before this time, in ms. */
     pausedUntilMs: number;
@@ -76,11 +76,14 @@
     consecutiveFailures: number;
     lastFailedUnit: string;
     lastFailureAtMs: number;
-    /** Since when latency has been below the recovery threshold; `undefined` while it is not. */
+    /**
+     * When the current interval of latency below the recovery threshold began, in ms; `undefined`
+     * while the latency is above the threshold.
+     */
     belowTargetSinceMs: number | undefined;
     /** Sequence number of the newest heartbeat, used to drop late ones. */
     lastSequence: number;
-    /** Earliest end of a draining worker, in ms of our clock, if the worker announced it. */
+    /** Earliest end of a draining worker, in ms of the leader's clock, if announced. */
     leavesAtMs: number | undefined;
     /**
      * {@link WorkerRegistry.capacityVersion} when the worker last gained capacity or became usable.
@@ -143,7 +146,7 @@
      * Adds a worker or updates its record.
      *
      * @param record The worker's record.
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      * @returns Its state.
      */
     ensureWorker(record: WorkerRecord, now: number): WorkerState {
@@ -199,10 +202,10 @@
     }
 
     /**
-     * Tells whether a worker's reported capacity is recent enough to place work on.
+     * Returns whether a worker's reported capacity is recent enough to place work on.
      *
      * @param worker The worker.
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      * @returns False without a recent heartbeat, since the capacity may have shrunk.
      */
     hasFreshReport(worker: WorkerState, now: number): boolean {
@@ -213,7 +216,7 @@
      * Records a worker crash.
      *
      * @param address The worker's address.
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      */
     recordCrash(address: string, now: number): void {
         for (const earlier of this.#crashTimes.keys()) {
@@ -225,11 +228,11 @@
     }
 
     /**
-     * Tells whether a worker at an address crashed recently, so that its successor may crash as
+     * Returns whether a worker at an address crashed recently, so that its successor may crash as
      * well.
      *
      * @param address The address.
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      * @returns True for a limited time after a crash.
      */
     hasRecentCrash(address: string, now: number): boolean {
@@ -323,7 +326,7 @@
      * Grants a new lease with an order that is about to be sent.
      *
      * @param worker The worker.
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      * @returns The lease's end in whole ms of the worker's clock, or `undefined` if that clock is
      * unknown.
      */
@@ -338,10 +341,10 @@
     }
 
     /**
-     * Tells whether every lease of a worker has expired, assuming the slowest allowed worker clock.
+     * Returns whether every lease of a worker has expired, assuming the slowest allowed clock.
      *
      * @param worker The worker.
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      * @returns True if no task can still run there under a lease.
      */
     hasLeaseExpired(worker: WorkerState, now: number): boolean {
@@ -362,7 +365,7 @@
      *
      * @param worker The worker.
      * @param clockMs The worker's clock, if the answer included it.
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      */
     recordAnswer(worker: WorkerState, clockMs: number | undefined, now: number): void {
         worker.lastContactAtMs = now;
@@ -391,7 +394,7 @@
      *
      * @param worker The worker.
      * @param unit Key of the task's unit.
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      */
     recordFailure(worker: WorkerState, unit: string, now: number): void {
         worker.lastFailureAtMs = now;
@@ -408,10 +411,10 @@
     }
 
     /**
-     * Tells whether a worker failed a task recently and has not succeeded since.
+     * Returns whether a worker failed a task recently and has not succeeded since.
      *
      * @param worker The worker.
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      * @returns True for a limited time after a failure.
      */
     hasRecentFailure(worker: WorkerState, now: number): boolean {
@@ -423,17 +426,17 @@
      * would look idle and keep attracting starts.
      *
      * @param worker The worker.
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      */
     recordRefusal(worker: WorkerState, now: number): void {
         worker.pausedUntilMs = Math.max(worker.pausedUntilMs, now + REFUSAL_BACKOFF_MS);
     }
 
     /**
-     * Tells whether a worker may get new work.
+     * Returns whether a worker may get new work.
      *
      * @param worker The worker.
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      * @returns False if the worker is draining, suspect, silent or paused, its report is too old,
      * or its clock is unknown.
      */
@@ -454,7 +457,7 @@
  * since the heartbeat may have been delayed or received by an earlier leader.
  *
  * @param worker The worker.
- * @param now Our clock, in ms.
+ * @param now The current monotonic time, in ms.
  * @returns The minimum age, in ms.
  */
 function computeReportAgeMs({ lastReport: report, clock }: WorkerState, now: number): number {
@@ -480,7 +483,7 @@
 }
 
 /**
- * Tells whether a request fits into the free resources.
+ * Returns whether a request fits into the free resources.
  *
  * @param free The free resources.
  * @param needs The requested resources.
--- a/dispatch/worker_speed.ts
+++ b/dispatch/worker_speed.ts
@@ -35,7 +35,7 @@
      *
      * @param completedMs Work completed, in ms of the task's estimate.
      * @param elapsedMs Time taken, in ms.
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      */
     record(completedMs: number, elapsedMs: number, now: number): void {
         const decay = Math.exp(-(now - this.#recordedAtMs) / DECAY_MS);
@@ -47,7 +47,7 @@
     /**
      * Ranks the worker by its speed.
      *
-     * @param now Our clock, in ms.
+     * @param now The current monotonic time, in ms.
      * @returns 1 for normal speed or too few samples, 2 for slow, 3 for stalled.
      */
     computeSpeedRank(now: number): number {
