--- a/dispatch/_worker_poller.ts
+++ b/dispatch/_worker_poller.ts
@@ -59,7 +59,7 @@
         if (worker === undefined) {
             return undefined;
         }
-        const hasUnacknowledged = worker.durableCursor > worker.acknowledgedCursor;
+        const hasUnacknowledged = worker.committedCursor > worker.acknowledgedCursor;
         if (mayWait && worker.members.size === 0 && !hasUnacknowledged) {
             return undefined;
         }
@@ -67,7 +67,7 @@
             worker: id,
             address: worker.record.address,
             fence: worker.fence,
-            cursor: worker.durableCursor,
+            cursor: worker.committedCursor,
             // An unanswered poll may still have been executed. Renewing the lease with each retry
             // would keep the tasks of an unreachable worker from ever expiring.
             untilMs: worker.isSuspect
@@ -122,7 +122,7 @@
         this.#failures.clearLeaseExpiry(order.worker);
         worker.acknowledgedCursor = Math.max(worker.acknowledgedCursor, order.cursor);
         answer.ended.forEach((report) => this.#handleEnd(worker, report));
-        if (worker.readCursor > worker.durableCursor) {
+        if (worker.readCursor > worker.committedCursor) {
             const cursor = worker.readCursor;
             this.#context.emit({ type: "acknowledge", worker: order.worker, cursor });
         }
@@ -141,7 +141,7 @@
     confirmEnds(id: WorkerId, cursor: number): void {
         const worker = this.#context.registry.findWorker(id);
         if (worker !== undefined) {
-            worker.durableCursor = Math.max(worker.durableCursor, cursor);
+            worker.committedCursor = Math.max(worker.committedCursor, cursor);
         }
     }
 
--- a/dispatch/_workload_simulation.ts
+++ b/dispatch/_workload_simulation.ts
@@ -152,11 +152,11 @@
     readonly crashes: number;
     readonly crashingJobs: number;
     /** Crashing jobs that failed. */
-    readonly givenUp: number;
+    readonly failedCrashingJobs: number;
     /** Maximum number of starts of a task after three workers crashed while running it. */
-    readonly mostStartsAfterThree: number;
+    readonly maxStartsAfterThreeCrashes: number;
     /** Other jobs that failed. */
-    readonly failedOthers: number;
+    readonly failedOtherJobs: number;
     readonly violations: number;
 }
 
@@ -266,16 +266,16 @@
         const failed = [...this.#submittedJobs.values()]
             .flat()
             .filter(({ id }) => this.#cluster.getJobState(id) === "failed");
-        const givenUp = failed.filter(({ id }) => this.#crashingJobs.has(id)).length;
+        const failedCrashingJobs = failed.filter(({ id }) => this.#crashingJobs.has(id)).length;
         const starts = [...this.#crashingJobs].map((id) =>
             this.#cluster.countStartsAfterCrashes(`${id}.0.0.0`, 3),
         );
         return {
             crashes: this.#cluster.crashes.length,
             crashingJobs: this.#crashingJobs.size,
-            givenUp,
-            mostStartsAfterThree: Math.max(0, ...starts),
-            failedOthers: failed.length - givenUp,
+            failedCrashingJobs,
+            maxStartsAfterThreeCrashes: Math.max(0, ...starts),
+            failedOtherJobs: failed.length - failedCrashingJobs,
             violations: this.#cluster.violations.length,
         };
     }
--- a/dispatch/worker_registry.ts
+++ b/dispatch/worker_registry.ts
@@ -56,7 +56,7 @@
     /** Number of the newest task end read from the worker. */
     readCursor: number;
     /** Number of the newest task end that is committed. */
-    durableCursor: number;
+    committedCursor: number;
     /** Number up to which task ends were acknowledged to the worker. */
     acknowledgedCursor: number;
     lastContactAtMs: number;
@@ -165,7 +165,7 @@
             reserved: { cpu: 0, memoryMb: 0, gpu: 0 },
             members: new Map(),
             readCursor: 0,
-            durableCursor: 0,
+            committedCursor: 0,
             acknowledgedCursor: 0,
             lastContactAtMs: Number.NEGATIVE_INFINITY,
             lastReport: { arrivedAtMs: Number.NEGATIVE_INFINITY, clockMs: undefined },
--- a/dispatch/workload_simulation_test.ts
+++ b/dispatch/workload_simulation_test.ts
@@ -17,7 +17,7 @@
         const report = simulation.summarizeFaults();
         t.true(report.crashes > 0 && report.crashingJobs > 0);
         t.is(report.violations, 0);
-        t.is(report.failedOthers, 0);
-        t.true(report.mostStartsAfterThree < START_LIMIT);
+        t.is(report.failedOtherJobs, 0);
+        t.true(report.maxStartsAfterThreeCrashes < START_LIMIT);
     });
 }
