--- a/dispatch/advice_scheduler_test.ts
+++ b/dispatch/advice_scheduler_test.ts
@@ -20,7 +20,7 @@
     };
 }
 
-test("assigns lanes in proportion to load, at least one per queue", (t) => {
+test("assigns fronts in proportion to load, at least one per queue", (t) => {
     const plan = assignFronts(FRONTS, [
         { queue: SLOW_QUEUE, load: 1.2 },
         { queue: URGENT_QUEUE, load: 0.3 },
@@ -29,7 +29,7 @@
     t.is(plan.get(URGENT_QUEUE)?.length, 1);
 });
 
-test("queues share lanes if there are fewer lanes than queues", (t) => {
+test("queues share fronts if there are fewer fronts than queues", (t) => {
     const plan = assignFronts(["f1"] as FrontId[], [
         { queue: SLOW_QUEUE, load: 1 },
         { queue: URGENT_QUEUE, load: 1 },
@@ -38,7 +38,7 @@
     t.deepEqual(plan.get(URGENT_QUEUE), ["f1"]);
 });
 
-test("a burst of slow calls does not occupy the urgent queue's lanes", (t) => {
+test("a burst of slow calls does not occupy the urgent queue's fronts", (t) => {
     // A short urgent call that waits behind a 0.7 s call misses its latency objective.
     const scheduler = new AdviceScheduler();
     scheduler.setFronts(FRONTS);
@@ -55,7 +55,7 @@
     );
 });
 
-test("a lane backs off after a failed call", (t) => {
+test("a front backs off after a failed call", (t) => {
     const scheduler = new AdviceScheduler();
     scheduler.setFronts(["f1" as FrontId]);
     scheduler.addCall(buildCall(1, URGENT_QUEUE, 15), 0, 0);
--- a/dispatch/capacity_test.ts
+++ b/dispatch/capacity_test.ts
@@ -199,7 +199,7 @@
 });
 
 // Guards against a control instance whose outdated state makes a change look like a keep-alive.
-test("a heartbeat forwarded as unchanged still reports its own capacity", (t) => {
+test("a keep-alive still reports the worker's own capacity", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 700 });
     cluster.runFor(1_600);
     cluster.dropHeartbeats("w1" as WorkerId);
--- a/dispatch/dispatcher_test.ts
+++ b/dispatch/dispatcher_test.ts
@@ -311,7 +311,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("a new leader looks first at the workers with running tasks", (t) => {
+test("a new leader polls the workers with running tasks first", (t) => {
     // Guards against delaying task completions that were reported during a leader change.
     const cluster = new SimulatedCluster({ workers: 30, taskMs: 5_000 });
     cluster.runFor(300);
