--- a/bench/bench.ts
+++ b/bench/bench.ts
@@ -32,7 +32,7 @@
         highestTrackableValue: 10_000_000,
         numberOfSignificantValueDigits: 3,
     });
-    const running: { lease: Extract<Effect, { type: "grant" }>["lease"]; endsAt: number }[] = [];
+    const running: { lease: Extract<Effect, { type: "grant" }>["lease"]; endsAtMs: number }[] = [];
     const totalCores = cell.listWorkers().reduce((s, w) => s + w.instance.capacity.cores, 0);
     let packingSum = 0;
     let packingSamples = 0;
@@ -62,12 +62,12 @@
         for (const effect of cell.takeEffects()) {
             if (effect.type === "grant") {
                 cell.handleReport(effect.lease.lease, effect.lease.epoch, "started", "", nowMs);
-                running.push({ lease: effect.lease, endsAt: nowMs + 200 + (submitted % 7) * 50 });
+                running.push({ lease: effect.lease, endsAtMs: nowMs + 200 + (submitted % 7) * 50 });
             }
         }
         for (let i = running.length - 1; i >= 0; i--) {
             const item = running[i];
-            if (item !== undefined && item.endsAt <= nowMs) {
+            if (item !== undefined && item.endsAtMs <= nowMs) {
                 cell.handleReport(item.lease.lease, item.lease.epoch, "completed", "", nowMs);
                 running.splice(i, 1);
             }
--- a/bench/cluster_bench.ts
+++ b/bench/cluster_bench.ts
@@ -20,7 +20,7 @@
 const COMMIT_COUNT = 300;
 const RULES_CHANGE_COUNT = 50;
 const ELECTION_COUNT = 3;
-const MISSED_REQUESTS = 1_000;
+const MISSED_REQUEST_COUNT = 1_000;
 const ALL_ZONES = ["z1", "z2", "z3"];
 
 /** Latency percentiles in ms. */
@@ -37,9 +37,9 @@
 ): Promise<LatencySummary> {
     const histogram = hdr.build({ numberOfSignificantValueDigits: 3 });
     for (let i = 0; i < count; i++) {
-        const startedAt = performance.now();
+        const startedAtMs = performance.now();
         await run(i);
-        histogram.recordValue(Math.round((performance.now() - startedAt) * 1_000));
+        histogram.recordValue(Math.round((performance.now() - startedAtMs) * 1_000));
     }
     const toMs = (us: number): number => Number((us / 1_000).toFixed(1));
     return {
@@ -88,12 +88,12 @@
     const timesMs: number[] = [];
     for (let i = 0; i < ELECTION_COUNT; i++) {
         const leader = (await cluster.findLeader(group)) as string;
-        const startedAt = performance.now();
+        const startedAtMs = performance.now();
         cluster.sendSignal(leader, signal);
         await waitUntil("another instance leads", async () => {
             return (await cluster.findLeader(group, leader)) !== undefined;
         });
-        timesMs.push(Math.round(performance.now() - startedAt));
+        timesMs.push(Math.round(performance.now() - startedAtMs));
         if (signal === "SIGSTOP") {
             cluster.sendSignal(leader, "SIGCONT");
         } else {
@@ -116,14 +116,14 @@
         .find((id) => !leaders.includes(id)) as string;
     await cluster.killProcess(laggingId);
     const demand = { cores: 99, memoryMb: 1, accelerators: 0 };
-    for (let i = 0; i < MISSED_REQUESTS / 10; i++) {
+    for (let i = 0; i < MISSED_REQUEST_COUNT / 10; i++) {
         await Promise.all(
             Array.from({ length: 10 }, () => workload.submit({ kind: "batch", demand })),
         );
     }
-    const startedAt = performance.now();
+    const startedAtMs = performance.now();
     await cluster.startEntry(laggingId);
-    const listeningMs = Math.round(performance.now() - startedAt);
+    const listeningMs = Math.round(performance.now() - startedAtMs);
     await waitUntil("the lagging instance has caught up", async () => {
         const statuses = await cluster.listStatuses();
         const applied = statuses.flatMap(
@@ -132,9 +132,9 @@
         const laggingStatus = statuses.find((s) => s.id === laggingId);
         return laggingStatus?.ready === true && Math.max(...applied) - Math.min(...applied) <= 2;
     });
-    const totalMs = Math.round(performance.now() - startedAt);
+    const totalMs = Math.round(performance.now() - startedAtMs);
     return {
-        missed: MISSED_REQUESTS,
+        missed: MISSED_REQUEST_COUNT,
         listeningMs,
         caughtUpAfterListeningMs: totalMs - listeningMs,
     };
@@ -151,8 +151,8 @@
 });
 try {
     const workload = new Workload(cluster);
-    const commits = await measureCommitLatencies(workload);
-    const changes = await measureRulesChangeLatencies(cluster, workload);
+    const commitLatencies = await measureCommitLatencies(workload);
+    const rulesChangeLatencies = await measureRulesChangeLatencies(cluster, workload);
     const recovery = await measureRecovery(cluster, workload);
     const killed = await measureElectionTimes(cluster, "z1", "SIGKILL");
     const frozen = await measureElectionTimes(cluster, "z1", "SIGSTOP");
@@ -161,8 +161,8 @@
         command: `npx tsx bench/cluster_bench.ts ${instances}`,
         at: new Date().toISOString(),
         instances,
-        commitMs: commits,
-        changeInForceEverywhereMs: changes,
+        commitMs: commitLatencies,
+        changeInForceEverywhereMs: rulesChangeLatencies,
         recovery,
         electionAfterKillMs: killed,
         electionAfterFreezeMs: frozen,
--- a/bench/wide_jobs_bench.ts
+++ b/bench/wide_jobs_bench.ts
@@ -56,9 +56,9 @@
         seed,
         faultRates,
     });
-    const startedAt = process.cpuUsage();
+    const cpuBefore = process.cpuUsage();
     simulation.run(Number(values.seconds), Number(values.load));
-    const cpuUsed = process.cpuUsage(startedAt);
+    const cpuUsed = process.cpuUsage(cpuBefore);
     const cpuSeconds = ((cpuUsed.user + cpuUsed.system) / 1e6).toFixed(1);
     process.stdout.write(`seed ${seed}, ${cpuSeconds} s of CPU time\n`);
     simulation
--- a/dispatch/_fixtures.ts
+++ b/dispatch/_fixtures.ts
@@ -203,7 +203,7 @@
     killWorker(id: WorkerId): void {
         const worker = this.workers.get(id);
         if (worker !== undefined) {
-            worker.isDead = true;
+            worker.isKilled = true;
             this.workers.delete(id);
             this.#records.delete(id);
         }
@@ -511,14 +511,14 @@
         if (fault.type === "late") {
             reply(timeoutMs, noAnswer);
             this.#scheduleEvent(fault.afterMs, () => {
-                if (!worker.isDead) {
+                if (!worker.isKilled) {
                     execute(worker);
                 }
             });
             return;
         }
         this.#scheduleEvent(NETWORK_DELAY_MS, () => {
-            if (worker.isDead) {
+            if (worker.isKilled) {
                 reply(timeoutMs, noAnswer);
             } else {
                 reply(NETWORK_DELAY_MS, execute(worker));
--- a/entry/cluster_test.ts
+++ b/entry/cluster_test.ts
@@ -64,7 +64,7 @@
         workload.start({ intervalMs: 10 });
         await waitFor(800);
         const leader = (await cluster.findLeader(ZONE)) as string;
-        cluster.setInstanceIsolated(leader, "silent");
+        cluster.setInstancePathModes(leader, "silent");
         await cluster.waitLeaders(leader);
         await waitFor(6_000);
         const isolated = await cluster.getStatus(leader);
@@ -72,7 +72,7 @@
             isolated?.groups.some((g) => g.serving),
             "an isolated leader must stop serving",
         );
-        cluster.setInstanceIsolated(leader, "open");
+        cluster.setInstancePathModes(leader, "open");
         const { answers, violations } = await workload.audit();
         t.deepEqual(violations, []);
         t.true(answers.filter((a) => a.state === "completed").length > 300);
@@ -236,7 +236,7 @@
         const loads = zones.map((zone) => new Workload(cluster, { name: `console-${zone}`, zone }));
         loads.forEach((load) => load.start({ intervalMs: 40 }));
         await waitFor(1_000);
-        cluster.setZoneIsolated("z1", "silent");
+        cluster.setZonePathModes("z1", "silent");
         await waitUntil("the majority side leads the configuration group", async () => {
             const leader = await cluster.findLeader("config");
             return leader !== undefined && !leader.startsWith("e-z1");
@@ -264,7 +264,7 @@
             await hasRules(cluster, ["z1"], 1),
             "z1 must keep the previous rules during the partition",
         );
-        cluster.setZoneIsolated("z1", "open");
+        cluster.setZonePathModes("z1", "open");
         await waitUntil("the rules are in force in z1", () => hasRules(cluster, ["z1"]));
         t.deepEqual(
             await loads[0]?.caller.setRules(change),
@@ -297,9 +297,9 @@
             const events = cluster.loadTimeline().filter((e) => e.message === "task started");
             return ["workers-z2", "workers-z3"].every((p) => events.some((e) => e.process === p));
         });
-        cluster.setZoneIsolated("z1", "silent");
+        cluster.setZonePathModes("z1", "silent");
         await waitFor(3_000);
-        cluster.setZoneIsolated("z1", "open");
+        cluster.setZonePathModes("z1", "open");
         await waitFor(1_000);
         const { answers, violations } = await workload.audit();
         t.deepEqual(violations, []);
--- a/load/cluster_runner.ts
+++ b/load/cluster_runner.ts
@@ -237,7 +237,7 @@
      * @param id The ID of the entry instance.
      * @param mode The fault mode; `open` ends the isolation.
      */
-    setInstanceIsolated(id: string, mode: RelayMode): void {
+    setInstancePathModes(id: string, mode: RelayMode): void {
         this.setPathModes((from, to) => (from === id || to === id) && from !== CALLER, mode);
     }
 
@@ -248,7 +248,7 @@
      * @param zone The zone.
      * @param mode The fault mode; `open` ends the isolation.
      */
-    setZoneIsolated(zone: string, mode: RelayMode): void {
+    setZonePathModes(zone: string, mode: RelayMode): void {
         const isInside = (id: string): boolean =>
             id === createWorkerHostId(zone) ||
             this.#options.members.some((m) => m.id === id && m.zone === zone);
@@ -277,9 +277,9 @@
      * @returns The statuses.
      */
     async listStatuses(excludedId?: string): Promise<EntryStatus[]> {
-        const asked = this.#options.members.filter((m) => m.id !== excludedId);
-        const all = await Promise.all(asked.map((m) => this.getStatus(m.id)));
-        return all.filter((s) => s !== undefined);
+        const queriedMembers = this.#options.members.filter((m) => m.id !== excludedId);
+        const statuses = await Promise.all(queriedMembers.map((m) => this.getStatus(m.id)));
+        return statuses.filter((s) => s !== undefined);
     }
 
     /**
--- a/load/run_load.ts
+++ b/load/run_load.ts
@@ -199,26 +199,26 @@
     }, SAMPLE_INTERVAL_MS);
     const progress = setInterval(() => {
         options.onProgress?.(
-            `${experiment.name}: ${Math.round((Date.now() - startedAtMs) / 1_000)} s, ${accepted.length}/${total} sent`,
+            `${experiment.name}: ${Math.round((Date.now() - startedAtMs) / 1_000)} s, ${submissions.length}/${total} sent`,
         );
     }, 1_000);
-    const accepted: Promise<RequestStatus>[] = [];
-    let random = experiment.seed;
+    const submissions: Promise<RequestStatus>[] = [];
+    let randomState = experiment.seed;
     await new Promise<void>((resolve) => {
         const sender = setInterval(() => {
             const dueCount = Math.min(
                 total,
                 Math.round(((Date.now() - startedAtMs) * experiment.ratePerSecond) / 1_000),
             );
-            while (accepted.length < dueCount) {
-                const spec = specs[accepted.length];
+            while (submissions.length < dueCount) {
+                const spec = specs[submissions.length];
                 if (spec === undefined) {
                     break;
                 }
-                random = (random * 1_103_515_245 + 12_345) % 2 ** 31;
-                const shouldCancel = random / 2 ** 31 < experiment.cancelShare;
-                const caller = callers[accepted.length % callers.length] as Caller;
-                accepted.push(
+                randomState = (randomState * 1_103_515_245 + 12_345) % 2 ** 31;
+                const shouldCancel = randomState / 2 ** 31 < experiment.cancelShare;
+                const caller = callers[submissions.length % callers.length] as Caller;
+                submissions.push(
                     caller.submit(spec).then(async (answer) => {
                         if (shouldCancel) {
                             await caller.cancel(answer.requestId).catch(() => undefined);
@@ -227,7 +227,7 @@
                     }),
                 );
             }
-            if (accepted.length >= total) {
+            if (submissions.length >= total) {
                 clearInterval(sender);
                 resolve();
             }
@@ -235,7 +235,7 @@
     });
     const deadlineMs = Date.now() + experiment.drainMs;
     const answers = await Promise.all(
-        accepted.map(async (a, i) =>
+        submissions.map(async (a, i) =>
             (callers[i % callers.length] as Caller).waitFinal((await a).requestId, deadlineMs),
         ),
     );
--- a/standin/task_worker.ts
+++ b/standin/task_worker.ts
@@ -58,12 +58,12 @@
     /** Called when a task starts. */
     readonly onStart?: (run: TaskRun) => void;
     /** Called when a task ends. */
-    readonly onEnd?: (run: TaskRun, how: MemberOutcome) => void;
+    readonly onEnd?: (run: TaskRun, outcome: MemberOutcome) => void;
     /** Called for each reported end that was acknowledged. */
     readonly onAcknowledge?: (end: EndReport) => void;
 }
 
-const DEFAULT_STOP_MS = 200;
+const DEFAULT_STOP_DELAY_MS = 200;
 const DEFAULT_MAX_LEASE_MS = 10_000;
 
 /** Simulates one incarnation of a worker. */
@@ -76,7 +76,7 @@
     #endCount = 0;
     #highestFence = 0;
     #leaseUntilMs = Number.NEGATIVE_INFINITY;
-    isDead = false;
+    isKilled = false;
 
     /**
      * @param options The worker's ID, its capacity and the behaviour of its tasks.
@@ -165,7 +165,7 @@
         const run = this.#runs.get(order.task);
         if (run?.attempt === order.attempt) {
             run.stopsAtMs ??=
-                this.#options.getNow() + (this.#options.stopDelayMs ?? DEFAULT_STOP_MS);
+                this.#options.getNow() + (this.#options.stopDelayMs ?? DEFAULT_STOP_DELAY_MS);
         } else {
             const highestEnded = this.#highestEndedAttempt.get(order.task) ?? 0;
             this.#highestEndedAttempt.set(order.task, Math.max(highestEnded, order.attempt));
--- a/standin/worker_agent.ts
+++ b/standin/worker_agent.ts
@@ -47,7 +47,7 @@
 }
 
 interface RunningTask {
-    readonly message: GrantMessage;
+    readonly offer: GrantMessage;
     readonly startedAtMs: number;
     /** When the last acknowledged heartbeat that listed this lease was sent, in ms. */
     renewedAtMs: number;
@@ -94,60 +94,60 @@
      * Accepts or refuses a lease offer. An accepted task starts at once; a resent offer gets the
      * first reply again.
      *
-     * @param message The offer.
+     * @param offer The offer.
      * @param now The current time, in ms.
      * @returns The reply, with the reason of a refusal.
      */
-    acceptLease(message: GrantMessage, now: number): LeaseReply {
-        const previous = this.#replies.get(message.lease);
+    acceptLease(offer: GrantMessage, now: number): LeaseReply {
+        const previous = this.#replies.get(offer.lease);
         if (previous !== undefined) {
             return previous.reply;
         }
-        const refusal = this.#findRefusal(message, now);
+        const refusal = this.#findRefusal(offer, now);
         if (refusal !== undefined) {
             if (refusal.status === "declined") {
-                this.#replies.set(message.lease, { reply: refusal, at: now });
+                this.#replies.set(offer.lease, { reply: refusal, at: now });
             }
             return refusal;
         }
-        const reply: LeaseReply = { lease: message.lease, status: "accepted", reason: "" };
-        this.#replies.set(message.lease, { reply, at: now });
-        this.#highestEpoch.set(message.task, message.epoch);
-        this.#heldResources = addResources(this.#heldResources, message.demand);
+        const reply: LeaseReply = { lease: offer.lease, status: "accepted", reason: "" };
+        this.#replies.set(offer.lease, { reply, at: now });
+        this.#highestEpoch.set(offer.task, offer.epoch);
+        this.#heldResources = addResources(this.#heldResources, offer.demand);
         // The lease runs from the heartbeat that the offer is based on, not from the arrival of
         // the offer, which may have been delayed.
-        this.#running.set(message.lease, {
-            message,
+        this.#running.set(offer.lease, {
+            offer,
             startedAtMs: now,
-            renewedAtMs: message.beatAt,
+            renewedAtMs: offer.beatAt,
         });
         this.startedTasks.push({
-            lease: message.lease,
-            task: message.task,
-            epoch: message.epoch,
+            lease: offer.lease,
+            task: offer.task,
+            epoch: offer.epoch,
             at: now,
         });
-        this.#addReport(message.lease, message.epoch, "started", "");
+        this.#addReport(offer.lease, offer.epoch, "started", "");
         return reply;
     }
 
-    #findRefusal(message: GrantMessage, now: number): LeaseReply | undefined {
-        const { lease } = message;
-        if (message.incarnation !== this.#incarnation) {
+    #findRefusal(offer: GrantMessage, now: number): LeaseReply | undefined {
+        const { lease } = offer;
+        if (offer.incarnation !== this.#incarnation) {
             return { lease, status: "unknown", reason: "meant for an earlier process" };
         }
-        const highest = this.#highestEpoch.get(message.task) ?? 0;
-        if (message.epoch <= highest) {
-            const reason = `stale epoch ${message.epoch}; seen ${highest}`;
+        const highest = this.#highestEpoch.get(offer.task) ?? 0;
+        if (offer.epoch <= highest) {
+            const reason = `stale epoch ${offer.epoch}; seen ${highest}`;
             return { lease, status: "declined", reason };
         }
         // The sender may have been replaced since that heartbeat, and the new leader may have
         // leased the task to another worker.
-        if (now - message.beatAt > message.ttlMs) {
-            const reason = `stale offer: by a heartbeat of ${now - message.beatAt} ms ago`;
+        if (now - offer.beatAt > offer.ttlMs) {
+            const reason = `stale offer: by a heartbeat of ${now - offer.beatAt} ms ago`;
             return { lease, status: "declined", reason };
         }
-        if (!isFitting(addResources(this.#heldResources, message.demand), this.#capacity)) {
+        if (!isFitting(addResources(this.#heldResources, offer.demand), this.#capacity)) {
             return { lease, status: "declined", reason: "the instance has no room for it" };
         }
         return undefined;
@@ -173,7 +173,7 @@
             return;
         }
         const { lease, epoch } = stop;
-        if (this.#running.get(lease)?.message.epoch === epoch) {
+        if (this.#running.get(lease)?.offer.epoch === epoch) {
             const detail = stop.mode === "checkpoint" ? "checkpointed and stopped" : "stopped";
             this.#endTask(lease, "stopped", detail);
         } else if (!this.#replies.has(lease)) {
@@ -204,7 +204,7 @@
         for (const lease of leases) {
             const task = this.#running.get(lease);
             // An expired lease isn't renewed: the task may already run on another worker.
-            if (task !== undefined && sentAtMs - task.renewedAtMs <= task.message.ttlMs) {
+            if (task !== undefined && sentAtMs - task.renewedAtMs <= task.offer.ttlMs) {
                 task.renewedAtMs = Math.max(task.renewedAtMs, sentAtMs);
             }
         }
@@ -219,8 +219,8 @@
      */
     tick(now: number): AgentReport[] {
         for (const [lease, task] of this.#running) {
-            const { runMs, fail } = task.message.work;
-            if (now - task.renewedAtMs > task.message.ttlMs) {
+            const { runMs, fail } = task.offer.work;
+            if (now - task.renewedAtMs > task.offer.ttlMs) {
                 this.#endTask(lease, "stopped", "lease expired unrenewed; stopped by the worker");
             } else if (this.#failAllTasks && now - task.startedAtMs >= Math.min(runMs || 50, 50)) {
                 this.#endTask(lease, "failed", `worker ${this.instance} fails everything`);
@@ -256,16 +256,16 @@
      */
     listHeldLeases(now: number): HeldLease[] {
         return [...this.#running.values()].map((task) => {
-            const factor = Math.min(1, task.message.work.usageFactor);
+            const factor = Math.min(1, task.offer.work.usageFactor);
             const usage =
                 now - task.startedAtMs >= this.#usageLagMs
                     ? {
-                          cores: task.message.demand.cores * factor,
-                          memoryMb: Math.round(task.message.demand.memoryMb * factor),
-                          accelerators: task.message.demand.accelerators,
+                          cores: task.offer.demand.cores * factor,
+                          memoryMb: Math.round(task.offer.demand.memoryMb * factor),
+                          accelerators: task.offer.demand.accelerators,
                       }
                     : undefined;
-            return { lease: task.message.lease, epoch: task.message.epoch, usage };
+            return { lease: task.offer.lease, epoch: task.offer.epoch, usage };
         });
     }
 
@@ -280,7 +280,7 @@
             return;
         }
         this.#running.delete(lease);
-        this.#heldResources = removeResources(this.#heldResources, task.message.demand);
-        this.#addReport(lease, task.message.epoch, report, detail);
+        this.#heldResources = removeResources(this.#heldResources, task.offer.demand);
+        this.#addReport(lease, task.offer.epoch, report, detail);
     }
 }
