--- a/bench/bench.ts
+++ b/bench/bench.ts
@@ -1,5 +1,5 @@
 /**
- * Measures placement throughput and the cost of a scheduling tick on a `Cell` in this process,
+ * Measures placement throughput and the duration of a scheduling tick on a `Cell` in this process,
  * without a network, at 30 and 1,100 workers. Writes the results to
  * `bench/results/bench-cell.json`.
  *
--- a/bench/cluster_bench.ts
+++ b/bench/cluster_bench.ts
@@ -53,7 +53,7 @@
 async function measureCommitLatencies(workload: Workload): Promise<LatencySummary> {
     const demand = { cores: 99, memoryMb: 1, accelerators: 0 };
     return measureLatencies(COMMIT_COUNT, async () => {
-        // No worker can meet the demand: the request is refused and only the commit is measured.
+        // No worker can meet the demand, so the latency is that of the commit alone.
         await workload.submit({ kind: "batch", demand });
     });
 }
--- a/bench/dispatch_bench.ts
+++ b/bench/dispatch_bench.ts
@@ -1,5 +1,5 @@
 /**
- * Measures the CPU cost of the leader's scheduling decisions and the number of jobs that complete
+ * Measures the CPU time of the leader's scheduling decisions and the number of jobs that complete
  * within their latency objective. Simulates three queues in virtual time, with a burst above
  * capacity and a period in which orders to every eighth worker are lost.
  *
--- a/bench/wide_jobs_bench.ts
+++ b/bench/wide_jobs_bench.ts
@@ -1,7 +1,7 @@
 /**
- * Measures how a loaded cluster serves its widest jobs, in virtual time. Prints latency and service
- * figures for each queue, for the widest tenth of its jobs and for the fifth below it, and a
- * summary of the injected faults.
+ * Measures how a loaded cluster serves its largest jobs by core-seconds, in virtual time. Prints
+ * latency and service figures for each queue, for the largest tenth of its jobs and for the fifth
+ * below it, and a summary of the injected faults.
  *
  * @example
  * ```sh
--- a/load/cluster_runner.ts
+++ b/load/cluster_runner.ts
@@ -205,7 +205,7 @@
     }
 
     /**
-     * Tells whether an entry instance has a snapshot of a group on disk.
+     * Returns whether an entry instance has a snapshot of a group on disk.
      *
      * @param id The ID of the entry instance.
      * @param group The ID of the group.
@@ -218,7 +218,7 @@
     /**
      * Sets the fault mode of the selected network paths.
      *
-     * @param isSelected Tells whether the path between two processes is selected.
+     * @param isSelected Returns whether the path between two processes is selected.
      * @param mode The fault mode.
      */
     setPathModes(isSelected: (from: string, to: string) => boolean, mode: RelayMode): void {
@@ -375,7 +375,7 @@
  * Waits until a condition holds.
  *
  * @param condition A description of the condition, for the error message.
- * @param isMet Tells whether it holds.
+ * @param isMet Returns whether it holds.
  * @param timeoutMs The longest wait, in ms.
  * @throws {Error} When the condition does not hold in time.
  */
--- a/settings/parse_yaml.ts
+++ b/settings/parse_yaml.ts
@@ -14,8 +14,8 @@
 import { parse } from "yaml";
 
 /**
- * Parses a YAML document. Text that starts with a brace goes to the faster JSON parser first, which
- * shortens the start of a daemon.
+ * Parses a YAML document. Text that starts with a brace is first tried as JSON, whose parser is
+ * faster.
  *
  * @param text YAML or JSON text.
  * @returns The parsed value.
--- a/standin/task_worker.ts
+++ b/standin/task_worker.ts
@@ -47,7 +47,7 @@
     readonly getDemand: (task: string) => Resources;
     /** Returns the outcome of a task that finishes by itself; `done` by default. */
     readonly getOutcome?: (task: string) => MemberOutcome;
-    /** Returns the load that a task reports; 0 by default. */
+    /** Returns the load that a task reports, as in a {@link PollAnswer}; 0 by default. */
     readonly getLoad?: (task: string) => number;
     /** The fraction by which the worker's clock runs slow (0.02 for 2%). */
     readonly clockDrift?: number;
@@ -76,6 +76,7 @@
     #endCount = 0;
     #highestFence = 0;
     #leaseUntilMs = Number.NEGATIVE_INFINITY;
+    /** Whether the simulation has killed the worker and delivers no more orders to it. */
     isKilled = false;
 
     /**
--- a/standin/worker_agent.ts
+++ b/standin/worker_agent.ts
@@ -94,7 +94,7 @@
      * Accepts or refuses a lease offer. An accepted task starts at once; a resent offer gets the
      * first reply again.
      *
-     * @param offer The offer.
+     * @param offer The lease offer.
      * @param now The current time, in ms.
      * @returns The reply, with the reason of a refusal.
      */
--- a/telemetry/causes.ts
+++ b/telemetry/causes.ts
@@ -52,7 +52,7 @@
 const MIN_DELAY_RATIO = 0.5;
 /** The least delay that counts, for short requests. */
 const MIN_DELAY_MS = 500;
-/** The wait above which a step counts as delayed; advice alone takes up to 800 ms. */
+/** The wait above which a step counts as delayed; leaves time for placement advice. */
 const LONG_WAIT_MS = 1_000;
 /** The multiple of its step's median duration above which a task is a straggler. */
 const STRAGGLER_FACTOR = 2;
--- a/telemetry/event_loop_monitor.ts
+++ b/telemetry/event_loop_monitor.ts
@@ -6,7 +6,7 @@
  * ```ts
  * import { EventLoopMonitor } from "./event_loop_monitor.ts";
  * const monitor = new EventLoopMonitor({
- *     onBlocked: (heldMs) => log.warn("event loop held", { heldMs }),
+ *     onBlocked: (heldMs) => log.warn("event loop blocked", { heldMs }),
  * });
  * monitor.start();
  * ```
@@ -21,7 +21,7 @@
     readonly getNow?: () => number;
 }
 
-/** Interval of the timer whose delay is measured; at most half of `MIN_BLOCKED_MS`. */
+/** Interval of the timer whose delay is checked; at most half of `MIN_BLOCKED_MS`. */
 const PROBE_INTERVAL_MS = 50;
 /** The least delay that is reported: two heartbeat intervals of a leader. */
 const MIN_BLOCKED_MS = 100;
--- a/telemetry/explain.ts
+++ b/telemetry/explain.ts
@@ -31,7 +31,7 @@
     "lease over",
     "worker changed",
 ]);
-/** The wait above which a step counts as delayed; advice alone takes up to 800 ms. */
+/** The wait above which a step counts as delayed; leaves time for placement advice. */
 const LONG_WAIT_MS = 1_000;
 /** How long before a request's first event related events are included. */
 const LOOKBACK_MS = 3_000;
--- a/telemetry/rate_limited_log.ts
+++ b/telemetry/rate_limited_log.ts
@@ -4,8 +4,8 @@
  * @example
  * ```ts
  * import { RateLimitedLog } from "./rate_limited_log.ts";
- * const lapses = new RateLimitedLog((fields) => log.warn("lease lapsed for calls", fields));
- * lapses.add();
+ * const refusals = new RateLimitedLog((fields) => log.warn("calls refused", fields));
+ * refusals.add();
  * ```
  *
  * @module
--- a/telemetry/request_sampler.ts
+++ b/telemetry/request_sampler.ts
@@ -26,7 +26,7 @@
     readonly getNow?: () => number;
 }
 
-/** The shortest time over which the line rate is measured. */
+/** The shortest time over which the line rate is averaged. */
 const WINDOW_MS = 1_000;
 /** Share of the limit below which the sample rate is doubled; under 0.5 to avoid oscillation. */
 const RAISE_THRESHOLD = 0.4;
@@ -95,7 +95,7 @@
         this.#isSampledByRequest.delete(request);
     }
 
-    /** Counts a logged line and adjusts the sample rate to the measured line rate. */
+    /** Counts a logged line and adjusts the sample rate to the line rate. */
     recordLine(): void {
         this.#lines += 1;
         const nowMs = this.#getNow();
