--- a/cell/_cell_state.ts
+++ b/cell/_cell_state.ts
@@ -137,7 +137,7 @@
     /** Requests that another zone's group currently handles. */
     readonly handedOverIds = new Set<RequestId>();
     /** The time of the newest input; a new leader's clock continues from it. */
-    lastInputAt = 0;
+    lastInputAtMs = 0;
     /** Whether a change since the last tick may allow a queued request to be placed. */
     isPlacementDue = false;
     #effects: Effect[] = [];
@@ -264,7 +264,7 @@
      * @param request The request.
      */
     addToQueue(request: RequestRecord): void {
-        request.queuedAt = this.lastInputAt;
+        request.queuedAt = this.lastInputAtMs;
         this.queue.add(request, this.getKindPolicy(request).kindClass.precedence);
         this.isPlacementDue = true;
     }
--- a/cell/_placer.ts
+++ b/cell/_placer.ts
@@ -98,16 +98,16 @@
     #placeRequest(request: RequestRecord, precedence: number, nowMs: number): boolean {
         const { rule } = this.#state.getKindPolicy(request);
         const requirements = this.#createRequirements(request, rule);
-        const quota = this.#state.getQuotaCores(request.spec.customer);
-        if (quota !== undefined) {
-            const used = this.#state.customerCores.get(request.spec.customer) ?? 0;
-            if (used + request.spec.demand.cores * request.spec.count > quota + 1e-9) {
+        const quotaCores = this.#state.getQuotaCores(request.spec.customer);
+        if (quotaCores !== undefined) {
+            const usedCores = this.#state.customerCores.get(request.spec.customer) ?? 0;
+            if (usedCores + request.spec.demand.cores * request.spec.count > quotaCores + 1e-9) {
                 // The text has no usage figures: each distinct text adds an event to the request's
                 // history.
                 this.#recordBlocked(
                     request,
                     nowMs,
-                    `quota of ${request.spec.customer}: ${quota} cores here, not enough left`,
+                    `quota of ${request.spec.customer}: ${quotaCores} cores here, not enough left`,
                 );
                 return true;
             }
@@ -212,9 +212,9 @@
         if (!this.#state.inventory.services.some((s) => s.id === spec.service)) {
             return `no service "${spec.service}" in the inventory`;
         }
-        const quota = this.#state.getQuotaCores(spec.customer);
-        if (quota !== undefined && spec.demand.cores * spec.count > quota + 1e-9) {
-            return `asks ${spec.demand.cores * spec.count} cores; the quota of ${spec.customer} is ${quota}${this.#state.options.quotaShare < 1 ? " here (this zone's share)" : ""}`;
+        const quotaCores = this.#state.getQuotaCores(spec.customer);
+        if (quotaCores !== undefined && spec.demand.cores * spec.count > quotaCores + 1e-9) {
+            return `asks ${spec.demand.cores * spec.count} cores; the quota of ${spec.customer} is ${quotaCores}${this.#state.options.quotaShare < 1 ? " here (this zone's share)" : ""}`;
         }
         const requirements = this.#createRequirements(undefined, rule, spec);
         const workerGroups = [this.#state.workerList, ...this.#state.options.otherZoneWorkers];
--- a/cell/_snapshot.ts
+++ b/cell/_snapshot.ts
@@ -88,7 +88,7 @@
         counters: state.counters,
         nextSeq: state.nextSeq,
         nextEpoch: state.nextEpoch,
-        lastAt: state.lastInputAt,
+        lastAt: state.lastInputAtMs,
     };
     return JSON.stringify(snapshot);
 }
@@ -135,7 +135,7 @@
     Object.assign(state.counters, snapshot.counters);
     state.nextSeq = snapshot.nextSeq;
     state.nextEpoch = snapshot.nextEpoch;
-    state.lastInputAt = snapshot.lastAt;
+    state.lastInputAtMs = snapshot.lastAt;
     state.queue = new RequestQueue();
     state.handedOverIds.clear();
     for (const request of snapshot.requests) {
--- a/cell/cell.ts
+++ b/cell/cell.ts
@@ -71,7 +71,7 @@
     readonly #handOverManager: HandOverManager;
     readonly #leaseManager: LeaseManager;
     readonly #rulesUpdater: RulesUpdater;
-    #lastPlacedAt = 0;
+    #lastTickAtMs = 0;
 
     /**
      * @param options The inventory, the rules and timings; see {@link CellOptions}.
@@ -93,7 +93,7 @@
      * @throws {KeyConflictError} See {@link Cell.submit}.
      */
     applyInput(input: CellInput): RequestStatus | RulesChangeResult | boolean | undefined {
-        this.#state.lastInputAt = Math.max(this.#state.lastInputAt, input.at);
+        this.#state.lastInputAtMs = Math.max(this.#state.lastInputAtMs, input.at);
         switch (input.type) {
             case "submit":
                 return this.submit(input.spec, input.at);
@@ -187,8 +187,8 @@
     }
 
     /** The time of the newest input, in ms. */
-    get lastInputAt(): number {
-        return this.#state.lastInputAt;
+    get lastInputAtMs(): number {
+        return this.#state.lastInputAtMs;
     }
 
     /**
@@ -505,7 +505,7 @@
         this.#leaseManager.expireLeases(nowMs);
         this.#placer.placeQueued(nowMs);
         this.#state.removeExpiredRequests(nowMs);
-        this.#lastPlacedAt = nowMs;
+        this.#lastTickAtMs = nowMs;
     }
 
     /**
@@ -545,7 +545,7 @@
         if (this.#state.isPlacementDue && !this.#state.queue.isEmpty) {
             return true;
         }
-        if (nowMs - this.#lastPlacedAt < PLACEMENT_RETRY_INTERVAL_MS) {
+        if (nowMs - this.#lastTickAtMs < PLACEMENT_RETRY_INTERVAL_MS) {
             return false;
         }
         return !this.#state.queue.isEmpty || this.#leaseManager.hasExpired(nowMs);
--- a/cli/operator_commands.ts
+++ b/cli/operator_commands.ts
@@ -207,10 +207,10 @@
     /** @returns The exit code. */
     async execute(): Promise<number> {
         const texts = this.files.map((file) => readFileSync(file, "utf8"));
-        const since = parseTimeMs(this.since, Number.NEGATIVE_INFINITY);
-        const until = parseTimeMs(this.until, Number.POSITIVE_INFINITY);
+        const sinceMs = parseTimeMs(this.since, Number.NEGATIVE_INFINITY);
+        const untilMs = parseTimeMs(this.until, Number.POSITIVE_INFINITY);
         for (const event of mergeTimeline(texts, { request: this.request })) {
-            if (event.t >= since && event.t <= until) {
+            if (event.t >= sinceMs && event.t <= untilMs) {
                 this.context.stdout.write(`${formatEvent(event)}\n`);
             }
         }
--- a/cli/process_commands.ts
+++ b/cli/process_commands.ts
@@ -36,7 +36,7 @@
     bootstrap = Option.Boolean("--bootstrap", false, {
         description: "initialize a new cell; all of its disks are empty",
     });
-    snapshotEvery = Option.String("--snapshot-every", {
+    snapshotIntervalEntries = Option.String("--snapshot-every", {
         description: "log entries between two snapshots",
     });
     log = Option.String("--log");
@@ -74,8 +74,10 @@
             deployment,
             bootstrap: deployment === undefined ? undefined : this.bootstrap,
             dataDir: member?.hasDisk === false ? undefined : this.dataDir,
-            snapshotEvery:
-                this.snapshotEvery === undefined ? undefined : Number(this.snapshotEvery),
+            snapshotIntervalEntries:
+                this.snapshotIntervalEntries === undefined
+                    ? undefined
+                    : Number(this.snapshotIntervalEntries),
             logger,
         });
         const address = await entry.start();
--- a/entry/_cluster_fixtures.ts
+++ b/entry/_cluster_fixtures.ts
@@ -197,11 +197,11 @@
      * @returns The final answers.
      */
     async waitAll(): Promise<RequestStatus[]> {
-        const deadline = Date.now() + SETTLE_TIMEOUT_MS;
+        const deadlineMs = Date.now() + SETTLE_TIMEOUT_MS;
         return Promise.all(
             this.#sent.map(async ({ spec, answer }) => {
                 const first = (await answer) ?? (await this.#caller.submit(spec));
-                return this.#caller.waitFinal(first.requestId, deadline);
+                return this.#caller.waitFinal(first.requestId, deadlineMs);
             }),
         );
     }
--- a/entry/call_router.ts
+++ b/entry/call_router.ts
@@ -114,14 +114,14 @@
 
     /** Lists the leader known to the local replica, the one from gossip, then live voters. */
     #listCandidates(group: GroupLayout): EntryId[] {
-        const now = performance.now();
+        const nowMs = performance.now();
         const { gossip } = this.#options;
         const knownLeaders = [
             this.#options.getMember(group.id)?.leader,
-            gossip.findLeader(group.id, now),
+            gossip.findLeader(group.id, nowMs),
         ].filter((id) => id !== undefined);
         const voters = group.voters.filter((v) =>
-            ["up", "unknown"].includes(gossip.getStatus(v, now)),
+            ["up", "unknown"].includes(gossip.getStatus(v, nowMs)),
         );
         return [...knownLeaders, ...voters];
     }
@@ -155,8 +155,8 @@
 class RemoteMethodError extends Error {
     readonly rpcError: RpcError;
 
-    constructor(answer: RpcError) {
-        super(answer.message);
-        this.rpcError = answer;
+    constructor(error: RpcError) {
+        super(error.message);
+        this.rpcError = error;
     }
 }
--- a/entry/config_group.ts
+++ b/entry/config_group.ts
@@ -33,33 +33,33 @@
 
 /** This instance's replica of the configuration group. */
 export class ConfigGroup {
-    readonly #book: RulesStore;
+    readonly #rulesStore: RulesStore;
     readonly member: GroupMember<ConfigCommand, RulesChangeResult>;
 
     /**
      * @param options Identity, network, initial rules; see {@link ConfigGroupOptions}.
      */
     constructor(options: ConfigGroupOptions) {
-        const book = new RulesStore(options.rules);
-        this.#book = book;
+        const rulesStore = new RulesStore(options.rules);
+        this.#rulesStore = rulesStore;
         this.member = new GroupMember({
             ...options,
             machine: {
-                apply: ({ change, problems }) => book.applyChange(change, () => problems),
-                encode: () => JSON.stringify(book.encode()),
-                restore: (state) => book.restore(JSON.parse(state)),
+                apply: ({ change, problems }) => rulesStore.applyChange(change, () => problems),
+                encode: () => JSON.stringify(rulesStore.encode()),
+                restore: (state) => rulesStore.restore(JSON.parse(state)),
             },
         });
     }
 
     /** The newest rules applied on this replica. */
     get rules(): Rules {
-        return this.#book.rules;
+        return this.#rulesStore.rules;
     }
 
     /** The newest rules in the format of a rules file. */
     get rulesFile(): RulesFile {
-        return createRulesFile(this.#book.rules);
+        return createRulesFile(this.#rulesStore.rules);
     }
 
     /**
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -81,7 +81,7 @@
     /** Inputs that arrive within this window, in ms, share one log entry and one fsync. */
     readonly syncWindowMs?: number;
     /** Number of log entries between snapshots. */
-    readonly snapshotEvery?: number;
+    readonly snapshotIntervalEntries?: number;
     readonly logger?: Logger;
 }
 
@@ -138,7 +138,7 @@
             dataDir: options.dataDir,
             timings: deployment.timings,
             batchWindowMs: options.syncWindowMs,
-            snapshotIntervalEntries: options.snapshotEvery,
+            snapshotIntervalEntries: options.snapshotIntervalEntries,
             log: this.#log,
         };
         this.#config = new ConfigGroup({
@@ -223,7 +223,7 @@
         }
         this.#startGossip();
         if (this.#options.deployment === undefined) {
-            await this.#waitServing();
+            await this.#waitForLeadership();
         }
         this.#isAccepting = true;
         this.#log.info("listening", { address: this.#server.address });
@@ -253,8 +253,8 @@
     #createMethods(): Record<string, (params: unknown) => unknown> {
         return {
             "request.submit": (params) => this.#handleSubmit(params),
-            "request.fate": (params) => this.#getAnswer(params),
-            "request.wait": (params) => this.#waitAnswer(params),
+            "request.fate": (params) => this.#getRequestStatus(params),
+            "request.wait": (params) => this.#waitForRequest(params),
             "request.cancel": (params) => this.#routeRequest("request.cancel", params),
             "instance.drain": (params) => this.#routeInstance("instance.drain", params),
             "instance.undrain": (params) => this.#routeInstance("instance.undrain", params),
@@ -296,8 +296,8 @@
      * Returns a request's state. Final states never change, so any replica can return them; other
      * states come from the leader, because a replica may lag.
      */
-    async #getAnswer(params: unknown): Promise<RequestStatus> {
-        const local = this.#findLocalAnswer(params);
+    async #getRequestStatus(params: unknown): Promise<RequestStatus> {
+        const local = this.#findLocalStatus(params);
         if (local?.final === true) {
             return local;
         }
@@ -308,48 +308,48 @@
      * Waits until the request is final or the timeout elapses. The local replica wakes the wait, so
      * that the leader need not hold every caller's connection.
      */
-    async #waitAnswer(params: unknown): Promise<RequestStatus> {
+    async #waitForRequest(params: unknown): Promise<RequestStatus> {
         const { timeoutMs } = parseParams(requestRefSchema, params);
-        const deadline = performance.now() + timeoutMs;
-        const current = this.#findLocalAnswer(params) ?? (await this.#getAnswer(params));
+        const deadlineMs = performance.now() + timeoutMs;
+        const current = this.#findLocalStatus(params) ?? (await this.#getRequestStatus(params));
         if (current.final || timeoutMs === 0 || !this.#isAccepting) {
-            return current.final ? current : this.#getAnswer(params);
+            return current.final ? current : this.#getRequestStatus(params);
         }
         if (this.#findReplica(current.requestId) === undefined) {
-            return this.#pollAnswer(current.requestId, deadline);
+            return this.#pollRequest(current.requestId, deadlineMs);
         }
         await this.#waiters.wait(current.requestId, timeoutMs, () => {
-            return this.#findLocalAnswer(params)?.final ?? false;
+            return this.#findLocalStatus(params)?.final ?? false;
         });
-        return this.#getAnswer(params);
+        return this.#getRequestStatus(params);
     }
 
     /**
      * Waits for a request whose group has no local replica, by long polling its leader, which
      * avoids transferring the request's whole history repeatedly.
      */
-    async #pollAnswer(id: RequestId, deadline: number): Promise<RequestStatus> {
+    async #pollRequest(id: RequestId, deadlineMs: number): Promise<RequestStatus> {
         for (;;) {
-            const remainingMs = Math.max(0, deadline - performance.now());
+            const remainingMs = Math.max(0, deadlineMs - performance.now());
             const timeoutMs = this.#isAccepting ? Math.min(remainingMs, MAX_FORWARDED_WAIT_MS) : 0;
             const params = { requestId: id, timeoutMs };
-            const answer = (await this.#routeRequest("request.wait", params)) as RequestStatus;
-            if (answer.final || timeoutMs === 0) {
-                return answer;
+            const status = (await this.#routeRequest("request.wait", params)) as RequestStatus;
+            if (status.final || timeoutMs === 0) {
+                return status;
             }
         }
     }
 
-    #findLocalAnswer(params: unknown): RequestStatus | undefined {
+    #findLocalStatus(params: unknown): RequestStatus | undefined {
         const ref = parseParams(requestRefSchema, params);
         for (const zone of this.#zones.values()) {
             const id =
                 ref.requestId !== undefined
                     ? createId<RequestId>(ref.requestId)
                     : zone.cell.findRequestIdByKey(ref.caller ?? "", ref.key ?? "");
-            const answer = id === undefined ? undefined : zone.cell.describeRequest(id);
-            if (answer !== undefined) {
-                return answer;
+            const status = id === undefined ? undefined : zone.cell.describeRequest(id);
+            if (status !== undefined) {
+                return status;
             }
         }
         return undefined;
@@ -484,10 +484,10 @@
     /** Lists the other groups with workers of a service, with their last announced free cores. */
     #listGroupCapacities(ownGroup: GroupId, service: string): GroupCapacity[] {
         const zones = this.#options.inventory.services.find((s) => s.id === service)?.zones ?? [];
-        const now = performance.now();
+        const nowMs = performance.now();
         return this.#layout.groups
             .filter((g) => g.id !== ownGroup && g.zones.some((z) => zones.includes(z)))
-            .map((g) => ({ group: g.id, freeCores: this.#gossip.getFreeCores(g.id, now) }));
+            .map((g) => ({ group: g.id, freeCores: this.#gossip.getFreeCores(g.id, nowMs) }));
     }
 
     #sendAdopt(
@@ -573,9 +573,9 @@
         );
     }
 
-    async #waitServing(): Promise<void> {
-        const deadline = performance.now() + START_TIMEOUT_MS;
-        while (!this.isServing && performance.now() < deadline) {
+    async #waitForLeadership(): Promise<void> {
+        const deadlineMs = performance.now() + START_TIMEOUT_MS;
+        while (!this.isServing && performance.now() < deadlineMs) {
             await new Promise((resolve) => setTimeout(resolve, 2));
         }
     }
--- a/entry/entry_test.ts
+++ b/entry/entry_test.ts
@@ -39,10 +39,10 @@
     await entry.stop();
     const again = new EntryInstance({ inventory, rules, dataDir, logger: buildQuietLogger() });
     const second = await again.start();
-    const fate = await createRpcClient(second).call<{ state: string }>("request.fate", {
+    const status = await createRpcClient(second).call<{ state: string }>("request.fate", {
         requestId: answers[1]?.requestId,
     });
-    t.is(fate.state, "completed");
+    t.is(status.state, "completed");
     const describe = (e: EntryInstance): unknown =>
         e.cell
             .listRequestIds()
@@ -98,9 +98,9 @@
         logger: buildQuietLogger(),
     });
     const second = await again.start();
-    const fate = await createRpcClient(second).call<{ requestId: string }>("request.fate", {
+    const status = await createRpcClient(second).call<{ requestId: string }>("request.fate", {
         requestId: answer.requestId,
     });
-    t.is(fate.requestId, answer.requestId);
+    t.is(status.requestId, answer.requestId);
     await again.stop();
 });
--- a/entry/hand_over_agent.ts
+++ b/entry/hand_over_agent.ts
@@ -109,18 +109,18 @@
     /**
      * Starts new hand-overs and polls the pending ones, if due.
      *
-     * @param at The cell's time, in ms.
+     * @param nowMs The cell's time, in ms.
      */
-    runRound(at: number): void {
-        if (at < this.#nextRoundAtMs) {
+    runRound(nowMs: number): void {
+        if (nowMs < this.#nextRoundAtMs) {
             return;
         }
-        this.#nextRoundAtMs = at + ROUND_INTERVAL_MS;
-        this.#startHandOvers(at);
+        this.#nextRoundAtMs = nowMs + ROUND_INTERVAL_MS;
+        this.#startHandOvers(nowMs);
         const isDue =
-            at >= this.#nextPollAtMs || [...this.#pending.values()].some((p) => !p.isKnown);
+            nowMs >= this.#nextPollAtMs || [...this.#pending.values()].some((p) => !p.isKnown);
         if (this.#pending.size > 0 && isDue && !this.#isPolling) {
-            this.#nextPollAtMs = at + POLL_INTERVAL_MS;
+            this.#nextPollAtMs = nowMs + POLL_INTERVAL_MS;
             this.#isPolling = true;
             void this.#sendPending().finally(() => {
                 this.#isPolling = false;
@@ -128,10 +128,10 @@
         }
     }
 
-    #startHandOvers(at: number): void {
+    #startHandOvers(nowMs: number): void {
         const assignedCores = new Map<GroupId, number>();
         for (const request of this.#options.cell.listHandOverCandidates(
-            at,
+            nowMs,
             MAX_HAND_OVERS_PER_ROUND,
         )) {
             const { service, demand, count } = request.spec;
--- a/entry/lease_dispatcher.ts
+++ b/entry/lease_dispatcher.ts
@@ -46,7 +46,7 @@
 export class LeaseDispatcher {
     readonly #options: LeaseDispatcherOptions;
     readonly #clients = new RpcClientPool({ timeoutMs: CALL_TIMEOUT_MS });
-    readonly #lastHeartbeatAt = new Map<InstanceId, number>();
+    readonly #lastHeartbeatSentAtMs = new Map<InstanceId, number>();
     #deferredGrants: Grant[] = [];
 
     /**
@@ -63,7 +63,7 @@
 
     /** Clears all state on loss of leadership; the next leader resends unanswered offers. */
     close(): void {
-        this.#lastHeartbeatAt.clear();
+        this.#lastHeartbeatSentAtMs.clear();
         this.#deferredGrants = [];
     }
 
@@ -74,9 +74,9 @@
      * @param sentAt When the heartbeat was sent, by the worker's clock, in ms.
      */
     recordHeartbeat(instance: InstanceId, sentAt: number): void {
-        this.#lastHeartbeatAt.set(
+        this.#lastHeartbeatSentAtMs.set(
             instance,
-            Math.max(sentAt, this.#lastHeartbeatAt.get(instance) ?? 0),
+            Math.max(sentAt, this.#lastHeartbeatSentAtMs.get(instance) ?? 0),
         );
     }
 
@@ -127,7 +127,7 @@
     }
 
     #isReady(grant: Grant): boolean {
-        return this.#lastHeartbeatAt.has(grant.lease.instance) && this.#options.isServing();
+        return this.#lastHeartbeatSentAtMs.has(grant.lease.instance) && this.#options.isServing();
     }
 
     /**
@@ -140,7 +140,7 @@
         attempt: number,
     ): Promise<void> {
         const offers = leases.flatMap((lease): GrantMessage[] => {
-            const beatAt = this.#lastHeartbeatAt.get(lease.instance);
+            const beatAt = this.#lastHeartbeatSentAtMs.get(lease.instance);
             return beatAt === undefined ? [] : [{ ...lease, beatAt }];
         });
         if (offers.length === 0 || !this.#options.isServing()) {
--- a/entry/status.ts
+++ b/entry/status.ts
@@ -79,7 +79,7 @@
         describeGroup(id, zone.member, zone.cell.rules.version, describeCells([zone.cell])),
     );
     const config = describeGroup(CONFIG_GROUP_ID, sources.config.member, sources.rulesVersion);
-    const now = performance.now();
+    const nowMs = performance.now();
     return {
         id: sources.self,
         ready: sources.isReady,
@@ -88,7 +88,7 @@
         bytes: addByteCounts(sources.bytes),
         groups: [...zones, config],
         members: Object.fromEntries(
-            sources.members.map((m) => [m, sources.gossip.getStatus(m, now)]),
+            sources.members.map((m) => [m, sources.gossip.getStatus(m, nowMs)]),
         ),
     };
 }
--- a/entry/zone_group.ts
+++ b/entry/zone_group.ts
@@ -106,7 +106,7 @@
     readonly member: GroupMember<CellInput, CellResult>;
     #tickSubscription: Subscription | undefined;
     #isTicking = false;
-    #lastTickAt = 0;
+    #lastTickAtMs = 0;
     #rulesAdoption: Promise<unknown> | undefined;
     #renewingWorkers = new Set<InstanceId>();
     #renewal: Promise<unknown> | undefined;
@@ -301,13 +301,13 @@
      * Handles heartbeats and renews leases. The response is sent only after the renewal is
      * committed, so a replaced leader cannot extend a lease that its successor has reassigned.
      *
-     * @param beats The heartbeats.
+     * @param heartbeats The heartbeats.
      * @returns The workers that must announce themselves and the leases to stop.
      */
-    async handleHeartbeats(beats: readonly Heartbeat[]): Promise<HeartbeatResponse> {
+    async handleHeartbeats(heartbeats: readonly Heartbeat[]): Promise<HeartbeatResponse> {
         const announce: InstanceId[] = [];
         const proposals: Promise<unknown>[] = [];
-        for (const beat of beats) {
+        for (const beat of heartbeats) {
             const worker = this.cell.findWorker(beat.instance);
             if (worker?.address === undefined || worker.incarnation !== beat.incarnation) {
                 announce.push(beat.instance);
@@ -325,9 +325,9 @@
             );
         }
         await Promise.all(proposals);
-        beats.forEach((beat) => this.#dispatcher.recordHeartbeat(beat.instance, beat.sentAt));
+        heartbeats.forEach((beat) => this.#dispatcher.recordHeartbeat(beat.instance, beat.sentAt));
         this.#dispatcher.sendDeferred();
-        const ended = beats.flatMap((beat) => this.cell.listLeasesToStop(beat.leases));
+        const ended = heartbeats.flatMap((beat) => this.cell.listLeasesToStop(beat.leases));
         return { announce, ended };
     }
 
@@ -383,7 +383,7 @@
     }
 
     #startLeading(): void {
-        this.#clock.start(this.cell.lastInputAt);
+        this.#clock.start(this.cell.lastInputAtMs);
         this.#options.log.info("became leader", {
             group: this.#options.group.id,
             term: this.member.replica.term,
@@ -426,17 +426,18 @@
         }
     }
 
-    #createTick(at: number): CellInput {
-        this.#lastTickAt = at;
-        return { type: "tick", at };
+    #createTick(nowMs: number): CellInput {
+        this.#lastTickAtMs = nowMs;
+        return { type: "tick", at: nowMs };
     }
 
     /** Adds a tick to a batch that may allow new placements, unless one ran within the interval. */
     #createBatchTick(inputs: readonly CellInput[]): CellInput[] {
-        const at = this.#clock.getNow();
-        const isDue = at - this.#lastTickAt >= (this.#options.tickMs ?? DEFAULT_TICK_INTERVAL_MS);
+        const nowMs = this.#clock.getNow();
+        const isDue =
+            nowMs - this.#lastTickAtMs >= (this.#options.tickMs ?? DEFAULT_TICK_INTERVAL_MS);
         const hasPlacementWork = inputs.some((i) => i.type === "submit" || i.type === "report");
-        return isDue && hasPlacementWork ? [this.#createTick(at)] : [];
+        return isDue && hasPlacementWork ? [this.#createTick(nowMs)] : [];
     }
 
     /** Notifies waiters of final requests on every replica; other effects are for the leader. */
