--- a/cell/_cell_state.ts
+++ b/cell/_cell_state.ts
@@ -136,7 +136,7 @@
     nextEpoch = 1;
     /** Requests that another zone's group currently handles. */
     readonly handedOverIds = new Set<RequestId>();
-    /** The time of the newest input; a new leader's clock continues from it. */
+    /** The time of the newest input, in ms; a new leader's clock continues from it. */
     lastInputAtMs = 0;
     /** Whether a change since the last tick may allow a queued request to be placed. */
     isPlacementDue = false;
@@ -210,7 +210,7 @@
     }
 
     /**
-     * Reports whether a request may be leased again after an attempt that may have started.
+     * Returns whether a request may be leased again after an attempt that may have started.
      *
      * @param request The request.
      * @returns True for an idempotent request with attempts left.
--- a/cell/_lease_manager.ts
+++ b/cell/_lease_manager.ts
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Reports whether a heartbeat lists exactly the live leases of its worker, with no usage above
+     * Returns whether a heartbeat lists exactly the live leases of its worker, with no usage above
      * the declared demand. The shorter `renew` input is then equivalent to the heartbeat.
      *
      * @param instance The worker's instance.
@@ -203,7 +203,7 @@
     }
 
     /**
-     * Reports whether a worker or a lease has timed out.
+     * Returns whether a worker or a lease has timed out.
      *
      * @param nowMs The current time in ms.
      * @returns True when {@link LeaseManager.expireLeases} would change something.
--- a/cell/_lifecycle.ts
+++ b/cell/_lifecycle.ts
@@ -173,7 +173,7 @@
     }
 
     /**
-     * Tells the workers to stop a request's live leases.
+     * Emits a stop for each live lease of a request, unless one was emitted already.
      *
      * @param request The request.
      * @param mode "checkpoint" saves progress before stopping.
--- a/cell/cell.ts
+++ b/cell/cell.ts
@@ -536,7 +536,7 @@
     }
 
     /**
-     * Reports whether a tick could change anything, so that an idle leader replicates no input.
+     * Returns whether a tick could change anything, so that an idle leader replicates no input.
      *
      * @param nowMs The current time in ms.
      * @returns False when a tick would have no effect.
--- a/entry/call_router.ts
+++ b/entry/call_router.ts
@@ -1,6 +1,6 @@
 /**
  * Routes a call to the leader of its group. If no leader is reachable, the call fails at once with
- * an error that says whether it may have taken effect and when to retry.
+ * an error that indicates whether it may have taken effect and when to retry.
  *
  * @example
  * ```ts
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -86,7 +86,7 @@
 }
 
 const GOSSIP_INTERVAL_MS = 500;
-/** Maximum time that a leader holds a forwarded `request.wait`. */
+/** Maximum time that a leader holds a forwarded `request.wait`, in ms. */
 const MAX_FORWARDED_WAIT_MS = 1_500;
 const START_TIMEOUT_MS = 10_000;
 const STANDALONE_GROUP = "cell" as GroupId;
@@ -293,8 +293,8 @@
     }
 
     /**
-     * Returns a request's state. Final states never change, so any replica can return them; other
-     * states come from the leader, because a replica may lag.
+     * Returns a request's status. A final status never changes, so any replica can return it; any
+     * other comes from the leader, because a replica may lag.
      */
     async #getRequestStatus(params: unknown): Promise<RequestStatus> {
         const local = this.#findLocalStatus(params);
@@ -565,7 +565,7 @@
             : this.#zones.get(group)?.member;
     }
 
-    /** Returns whether it accepts work and knows a leader for each of its zone replicas. */
+    /** Returns whether this instance accepts work and all its zone groups have a known leader. */
     #isReady(): boolean {
         return (
             this.#isAccepting &&
--- a/entry/entry_test.ts
+++ b/entry/entry_test.ts
@@ -76,7 +76,7 @@
 });
 
 test("a log with a torn last line replays all earlier entries", async (t) => {
-    // A torn line was never fsynced, so no caller has an answer that depends on it.
+    // A torn line was never fsynced, so no caller received a result that depends on it.
     const dataDir = mkdtempSync(join(tmpdir(), "poplarhead-torn-"));
     const inventory = buildInventoryFixture({ workers: 1 });
     const entry = new EntryInstance({
--- a/entry/errors.ts
+++ b/entry/errors.ts
@@ -75,7 +75,7 @@
 }
 
 /**
- * Converts an error from a lost leadership to one that says whether the call may have taken
+ * Converts an error from a lost leadership to one that indicates whether the call may have taken
  * effect. Returns other errors unchanged.
  *
  * @param group The group.
--- a/entry/hand_over_agent.ts
+++ b/entry/hand_over_agent.ts
@@ -6,7 +6,7 @@
  * ```ts
  * import { HandOverAgent } from "./hand_over_agent.ts";
  * const agent = new HandOverAgent({ group, cell, listGroupCapacities, sendAdopt, propose });
- * agent.runRound(at);
+ * agent.runRound(nowMs);
  * ```
  *
  * @module
@@ -69,7 +69,7 @@
 const MAX_HAND_OVERS_PER_ROUND = 64;
 /** Share of a group's announced capacity to use in one round; other groups may use it too. */
 const MAX_CAPACITY_SHARE = 0.5;
-/** Time after which the other group returns a request that it cannot place. */
+/** Time after which the other group returns a request that it cannot place, in ms. */
 const ADOPTED_MAX_WAIT_MS = 1_000;
 
 /** Hands over and polls one group's requests while this instance leads the group. */
--- a/entry/lease_dispatcher.ts
+++ b/entry/lease_dispatcher.ts
@@ -1,6 +1,7 @@
 /**
  * Sends lease offers and stops from a group's leader to workers, batched per address. Each offer
- * names the worker's last heartbeat, so that the worker can refuse offers from a stale leader.
+ * carries the time of the worker's last heartbeat, so that the worker can refuse offers from a
+ * stale leader.
  *
  * @example
  * ```ts
--- a/entry/zone_group.ts
+++ b/entry/zone_group.ts
@@ -6,7 +6,7 @@
  * ```ts
  * import { ZoneGroup } from "./zone_group.ts";
  * const group = new ZoneGroup({ ...memberOptions, layout, inventory, rules, config });
- * const answer = await group.submit(spec);
+ * const status = await group.submit(spec);
  * ```
  *
  * @module
@@ -180,7 +180,7 @@
      * Submits a request; resolves once a quorum has stored it durably.
      *
      * @param spec The request.
-     * @returns The request's state after the commit.
+     * @returns The request's status after the commit.
      */
     async submit(spec: RequestSpec): Promise<RequestStatus> {
         return (await this.#propose((at) => ({ type: "submit", at, spec }))) as RequestStatus;
@@ -190,7 +190,7 @@
      * Cancels a request.
      *
      * @param request The request.
-     * @returns The answer, or `undefined` for an unknown id.
+     * @returns The request's status, or `undefined` for an unknown id.
      */
     async cancel(request: RequestId): Promise<RequestStatus | undefined> {
         return (await this.#propose((at) => ({ type: "cancel", at, request }))) as
--- a/scheduler/preemption.ts
+++ b/scheduler/preemption.ts
@@ -37,15 +37,15 @@
 }
 
 /**
- * Plans a preemption that makes room for one task. Victims are taken on each worker in ascending
- * order of precedence; the worker with the fewest victims is selected.
+ * Plans a preemption that frees capacity for one task. Victims are taken on each worker in
+ * ascending order of precedence; the worker with the fewest victims is selected.
  *
  * @param workers The candidate workers.
  * @param requirements The requirements of the task; `count` is ignored.
  * @param precedence The precedence of the task; only tasks of lower precedence are stopped.
  * @param listVictims Returns the tasks on a worker that may be preempted.
  * @param nowMs The current time in ms.
- * @returns The plan, or `undefined` when no preemption makes enough room.
+ * @returns The plan, or `undefined` when no preemption frees enough capacity.
  */
 export function planPreemption(
     workers: readonly WorkerState[],
--- a/scheduler/worker_state.ts
+++ b/scheduler/worker_state.ts
@@ -37,7 +37,7 @@
      * not end an operator's drain.
      */
     leaving: boolean;
-    /** End of the quarantine in ms. A quarantine follows several failures in a row. */
+    /** End of the quarantine in ms. Several consecutive failures start a quarantine. */
     quarantinedUntil: number;
     /** Time of the last heartbeat in ms. */
     lastHeartbeatAt: number;
