--- a/entry/call_router_test.ts
+++ b/entry/call_router_test.ts
@@ -19,7 +19,7 @@
     });
 }
 
-test("a leader whose lease has lapsed serves calls after renewing it", async (t) => {
+test("a leader whose lease has expired serves calls after renewing it", async (t) => {
     // Guards against a no-leader error from the leader itself while its lease has expired.
     const router = buildRouter(async () => {
         await new Promise((resolve) => setImmediate(resolve));
