--- a/entry/_cluster_fixtures.ts
+++ b/entry/_cluster_fixtures.ts
@@ -97,6 +97,8 @@
     readonly runMs?: number;
     /** Cancels every n-th request as soon as it is accepted. */
     readonly cancelEvery?: number;
+    /** Skips submissions while this many are unanswered; unlimited by default. */
+    readonly maxInFlight?: number;
 }
 
 /** Submits requests at a fixed rate and keeps every answer. */
@@ -108,6 +110,7 @@
         readonly spec: RequestSpec;
         readonly answer: Promise<RequestStatus | undefined>;
     }[] = [];
+    #inFlightCount = 0;
     #timer: NodeJS.Timeout | undefined;
 
     /**
@@ -148,7 +151,11 @@
      */
     start(options: WorkloadOptions): void {
         const kinds = options.kinds ?? ["preview", "batch", "reel", "hero"];
+        const maxInFlight = options.maxInFlight ?? Number.POSITIVE_INFINITY;
         this.#timer = setInterval(() => {
+            if (this.#inFlightCount >= maxInFlight) {
+                return;
+            }
             const n = this.#sent.length;
             const isCancelled = options.cancelEvery !== undefined && n % options.cancelEvery === 0;
             this.submit(
@@ -183,10 +190,12 @@
             customer: createId<CustomerId>("team-1"),
             ...overrides,
         });
+        this.#inFlightCount++;
         const answer = this.#caller
             .submit(spec)
             .then((a) => (isCancelled ? this.#caller.cancel(a.requestId) : a))
-            .catch(() => undefined);
+            .catch(() => undefined)
+            .finally(() => this.#inFlightCount--);
         this.#sent.push({ spec, answer });
         return answer;
     }
