--- a/dispatch/_attempts.ts
+++ b/dispatch/_attempts.ts
@@ -26,9 +26,9 @@
 import type { MemberRun } from "./types.ts";
 import { NO_RESOURCES, type WorkerState } from "./worker_registry.ts";
 
-/** How often a start is sent before the worker is considered suspect. */
+/** Number of unanswered sends of a start after which the worker becomes suspect. */
 export const MAX_START_SENDS = 3;
-/** Ends that are recorded as failures. */
+/** Outcomes that are recorded as failures. */
 const FAILURE_ENDS: ReadonlySet<MemberOutcome> = new Set([
     "failed",
     "lapsed",
@@ -266,7 +266,7 @@
     }
 
     /**
-     * Stops the remaining members of a job that has ended.
+     * Closes the steps of a job that has ended and stops its remaining members.
      *
      * @param job The job.
      */
@@ -289,7 +289,8 @@
     }
 
     /**
-     * Stops a member. A planned member needs no order, since its start is not sent any more.
+     * Stops a member. The start of a planned member is not sent any more, so the next poll answer
+     * ends it.
      *
      * @param member The member.
      */
--- a/dispatch/_candidates.ts
+++ b/dispatch/_candidates.ts
@@ -22,7 +22,7 @@
     readonly step: ReadyStep;
     readonly queue: QueueConfig;
     readonly workers: Iterable<WorkerState>;
-    /** Checks whether a worker is reserved for other steps. */
+    /** Checks whether a worker is reserved for other steps or runs a task in isolation. */
     readonly isReserved: (id: WorkerId) => boolean;
     /** The current monotonic time, in ms. */
     readonly now: number;
--- a/dispatch/_context.ts
+++ b/dispatch/_context.ts
@@ -38,7 +38,7 @@
     // for their restart.
     leaseMs: 8_500,
     retentionMs: 240_000,
-    // Bounds how long a lost request goes unnoticed.
+    // Bounds how long a lost poll goes unnoticed.
     pollWaitMs: 1_500,
     // Leaves time for the commit and the start order before a worker enforces a reduced capacity.
     maxReportAgeMs: 3_500,
--- a/dispatch/_crash_isolation.ts
+++ b/dispatch/_crash_isolation.ts
@@ -53,7 +53,7 @@
 
     /**
      * Prepares a placement round: drops stale reservations and waiting units, and polls workers
-     * whose tasks may have outlasted their start.
+     * whose tasks may be past their startup.
      *
      * @param now The current monotonic time, in ms.
      */
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Selects the candidates that units without suspicion may use.
+     * Selects the candidates for units that are not suspected of crashing workers.
      *
      * @param candidates The candidates of the step.
      * @returns The candidates that are neither reserved for suspects nor isolated.
@@ -230,8 +230,8 @@
     }
 
     /**
-     * Lists the members that still run in isolation, and polls workers whose tasks may have
-     * outlasted their start.
+     * Lists the members that still run in isolation, and polls workers whose tasks may be past
+     * their startup.
      */
     #listIsolatedMembers(now: number): MemberRun[] {
         const isolated: MemberRun[] = [];
@@ -256,7 +256,7 @@
     }
 }
 
-/** Checks whether a task may have outlasted its start without a report that confirms it. */
+/** Checks whether a task may be past its startup although no poll has confirmed it yet. */
 function isProbeDue(member: MemberRun, now: number): boolean {
     return (
         member.state === "running" &&
--- a/dispatch/_evacuator.ts
+++ b/dispatch/_evacuator.ts
@@ -33,7 +33,7 @@
     /**
      * Stops the tasks that can't finish before a draining worker leaves; they restart elsewhere.
      *
-     * @param worker The worker; ignored unless it drains and announced its departure time.
+     * @param worker The worker; ignored unless it is draining and has announced when it leaves.
      * @param now The current monotonic time, in ms.
      */
     drainWorker(worker: WorkerState, now: number): void {
--- a/dispatch/_fixtures.ts
+++ b/dispatch/_fixtures.ts
@@ -61,12 +61,16 @@
     readonly computeCommitDelayMs?: () => number;
     /** Number of fronts that call the advice service. */
     readonly fronts?: number;
+    /** Fraction by which the workers' clocks run slow; 0 by default. */
     readonly clockDrift?: number;
     readonly queues?: readonly QueueConfig[];
     /** Returns the fault to inject into an order. */
     readonly getFault?: (kind: "start" | "stop" | "look", worker: WorkerId) => OrderFault;
     readonly getEnd?: (task: string, worker: WorkerId) => MemberOutcome;
-    /** Returns the delay from a task's start to the crash of its worker, in ms, if it crashes it. */
+    /**
+     * Returns the delay from a task's start until it crashes its worker, in ms; `undefined` if it
+     * does not.
+     */
     readonly getCrashAfterMs?: (task: string, worker: WorkerId) => number | undefined;
     /** Delay after a crash before the next incarnation joins at the same address, in ms. */
     readonly restartDelayMs?: number;
--- a/dispatch/_worker_failures.ts
+++ b/dispatch/_worker_failures.ts
@@ -18,7 +18,7 @@
 import type { MemberRun } from "./types.ts";
 import type { WorkerState } from "./worker_registry.ts";
 
-/** Detects and records worker failures for one leader. */
+/** Records worker failures and ends the affected tasks, for one leader. */
 export class WorkerFailures {
     readonly #context: DispatchContext;
     readonly #attempts: Attempts;
--- a/dispatch/_worker_poller.ts
+++ b/dispatch/_worker_poller.ts
@@ -25,7 +25,10 @@
 
 /** Shortest interval over which progress is measured, in ms; progress comes in whole percent. */
 const MIN_SPEED_SAMPLE_MS = 250;
-/** Time after a task's start from which missing progress counts as a stall, in ms. */
+/**
+ * Duration of a task's startup, in ms. During it, missing progress does not count as a stall, but a
+ * perpetual task's failure counts against its worker.
+ */
 const STARTUP_MS = 1_000;
 
 /** Prepares polls and handles their answers for one leader. */
--- a/dispatch/advice_scheduler.ts
+++ b/dispatch/advice_scheduler.ts
@@ -235,8 +235,8 @@
             .sort(([a], [b]) => (a < b ? -1 : 1))
             .map(([queue, load]) => ({
                 queue,
-                // The duration of one call is added so that a new queue has a load before any
-                // measurement.
+                // The duration of one call is added so that the load of an idle queue does not
+                // decay to zero.
                 load:
                     (decayLoad(load, now) / LOAD_TIME_CONSTANT_MS +
                         load.lastCallMs / LOAD_TIME_CONSTANT_MS) *
@@ -247,7 +247,7 @@
 }
 
 /**
- * Computes how long the advice service takes for a call.
+ * Computes the expected duration of a call from its queue's advice policy.
  *
  * @param call The call.
  * @returns The duration, in ms.
--- a/dispatch/crash_loop.ts
+++ b/dispatch/crash_loop.ts
@@ -76,7 +76,8 @@
  * is attributable to it and affects no other new run.
  *
  * @param crashes The unit's crash history.
- * @returns Ms from the run's start; 0 for a unit that is not suspected.
+ * @returns The duration from the run's start, in ms: 0 for a unit that is not suspected, infinite
+ * to isolate the whole run.
  */
 export function computeIsolationMs(crashes: readonly Crash[]): number {
     if (crashes.length >= FULL_ISOLATION_CRASHES) {
--- a/dispatch/evacuation.ts
+++ b/dispatch/evacuation.ts
@@ -17,7 +17,7 @@
  * allows for wrong estimates and for workers that stay longer than announced.
  */
 const ESTIMATE_OVERRUN_FACTOR = 1.3;
-/** Minimum progress from which the observed pace replaces the caller's estimate, in percent. */
+/** Minimum progress from which the observed speed replaces the caller's estimate, in percent. */
 const MIN_PROGRESS_PERCENT = 10;
 
 /** The departure time of a worker. */
--- a/dispatch/heartbeat_conflict.ts
+++ b/dispatch/heartbeat_conflict.ts
@@ -22,7 +22,7 @@
  */
 const MAX_SEQUENCE_GAP = 10_000;
 
-/** Properties of a heartbeat that are checked beside its report. */
+/** A heartbeat's sequence number, and the configured pools. */
 export interface HeartbeatConflictContext {
     readonly sequence: number;
     /** Whether the configuration contains a pool. */
--- a/dispatch/overdue_tasks.ts
+++ b/dispatch/overdue_tasks.ts
@@ -50,7 +50,9 @@
     return false;
 }
 
-/** Computes a task's expected end; infinite for a perpetual task or one that is not running. */
+/**
+ * Computes a task's expected end, in ms; infinite for a perpetual task or one that is not running.
+ */
 function computeDueAtMs(member: MemberRun): number {
     if (member.isPerpetual || member.state !== "running") {
         return Number.POSITIVE_INFINITY;
--- a/dispatch/placement.ts
+++ b/dispatch/placement.ts
@@ -19,11 +19,11 @@
     readonly freeCapacity: { -readonly [K in keyof Resources]: Resources[K] };
     readonly rack: string;
     readonly zone: string;
-    /** Number of tasks of the step that already run on the worker, where the step limits them. */
+    /** Number of the step's tasks on the worker; only counted if the step limits it. */
     tasksOfStep: number;
     /** Whether the worker stores the step's data. */
     readonly isDataLocal: boolean;
-    /** Slowdown relative to other workers, 1 for equal speed. */
+    /** Speed rank of the worker, plus 1 if a task of the step failed there; lower goes first. */
     readonly slowness: number;
     /** Whether a task failed there recently and none has succeeded since. */
     readonly hasRecentFailure: boolean;
--- a/dispatch/ranking.ts
+++ b/dispatch/ranking.ts
@@ -5,7 +5,7 @@
  * @example
  * ```ts
  * import { rankStep } from "./ranking.ts";
- * steps.sort((a, b) => rankStep(a, queueOf(a), now) - rankStep(b, queueOf(b), now));
+ * steps.sort((a, b) => rankStep(a, queue, wallMs) - rankStep(b, queue, wallMs));
  * ```
  *
  * @module
@@ -66,7 +66,10 @@
     return queue.stretch * Math.max(0, ...pathsMs) + queue.targetLatencyMs;
 }
 
-/** Computes the longest chain of dependent steps from a step on, by their estimates in ms. */
+/**
+ * Computes the estimated duration of the longest chain of dependent steps that begins with a step,
+ * in ms.
+ */
 function computeCriticalPathMs(spec: JobSpec | undefined, from: number): number {
     const steps = spec?.steps ?? [];
     const pathsMs = new Array<number>(steps.length).fill(0);
--- a/dispatch/ranking_test.ts
+++ b/dispatch/ranking_test.ts
@@ -25,7 +25,7 @@
 });
 
 test("new jobs meet their objective after an outage despite the backlog", (t) => {
-    // During a 6 s outage a backlog of late jobs builds up. Guards against serving it first, which
+    // During an 8 s outage a backlog of late jobs builds up. Guards against serving it first, which
     // would make new jobs late too.
     let isOutage = true;
     const cluster = new SimulatedCluster({
--- a/dispatch/ready_steps.ts
+++ b/dispatch/ready_steps.ts
@@ -59,7 +59,10 @@
     matchedVersion: number | undefined;
     /** When the step was last matched with all workers, in ms. */
     matchedAllAtMs: number;
-    /** Workers reserved for a gang that does not fit yet; empty for other steps. */
+    /**
+     * Workers reserved for a gang that does not fit yet, with the number of tasks on each; empty
+     * for other steps.
+     */
     reservedWorkers: ReadonlyMap<WorkerId, number>;
     /** When the step last preempted other tasks, in ms. */
     preemptedAtMs: number;
--- a/dispatch/reported_capacity.ts
+++ b/dispatch/reported_capacity.ts
@@ -26,7 +26,7 @@
  * @param known The capacity in use so far.
  * @param reported The capacity in the heartbeat.
  * @param unconfirmed A larger capacity from the previous heartbeat.
- * @returns The capacity to use from now on.
+ * @returns The capacity to use from now on, and the larger one to confirm, if any.
  */
 export function mergeCapacity(
     known: Resources,
--- a/dispatch/types.ts
+++ b/dispatch/types.ts
@@ -63,6 +63,10 @@
      * `undefined` while a start may still be in flight. In ms.
      */
     startResolvedAtMs: number | undefined;
+    /**
+     * When the worker accepted the start, in ms; as long as that is not known, when this leader
+     * created the member.
+     */
     startedAtMs: number;
     /** How long the member had run when its worker last listed it, in ms; 0 before that. */
     observedRunMs: number;
@@ -85,7 +89,7 @@
     readonly isFiller: boolean;
     /** Response time objective of a serving task, in ms; 0 for none. */
     readonly targetMs: number;
-    /** Last reported load: tail latency in ms for a serving task, else CPU use. */
+    /** Newest reported load; see {@link RunningReport.load}. */
     load: number;
     /** Newest pace that was ordered, in percent of full speed; `undefined` if unknown. */
     pacePercent: number | undefined;
@@ -194,7 +198,7 @@
     readonly queue: QueueName;
     readonly policy: AdvicePolicy;
     readonly workers: readonly WorkerId[];
-    /** Calls with a lower rank go first within their queue. */
+    /** Calls with a lower rank start first. */
     readonly rank: number;
 }
 
@@ -219,6 +223,7 @@
 
 /** A worker's heartbeat. */
 export interface Heartbeat {
+    /** What the worker reports about itself. */
     readonly record: WorkerReport;
     /**
      * Sequence number, which increases with each heartbeat of the worker; used to drop late ones.
@@ -226,11 +231,11 @@
     readonly sequence: number;
     /** The worker's clock when the heartbeat was sent, in ms; `undefined` if not included. */
     readonly clockMs: number | undefined;
-    /** Minimum time until a draining worker ends, in ms; `undefined` if not announced. */
+    /** Minimum time until a draining worker leaves, in ms; `undefined` if not announced. */
     readonly leavesInMs: number | undefined;
 }
 
-/** Result of one or more inputs. */
+/** Facts to replicate, and effects to run after they are committed. */
 export interface Outcome {
     readonly facts: readonly Fact[];
     readonly effects: readonly Effect[];
--- a/dispatch/worker_registry.ts
+++ b/dispatch/worker_registry.ts
@@ -66,7 +66,7 @@
     unconfirmedCapacity: Resources | undefined;
     /** When the worker last answered a poll, in ms. */
     pollAnsweredAtMs: number;
-    /** When the worker was last polled because of an overdue task, in ms. */
+    /** When the worker last got an extra poll, for an overdue or a starting task, in ms. */
     extraPollAtMs: number;
     /** Whether the worker left an order or poll unanswered and has not answered since. */
     isSuspect: boolean;
@@ -83,7 +83,7 @@
     belowTargetSinceMs: number | undefined;
     /** Sequence number of the newest heartbeat, used to drop late ones. */
     lastSequence: number;
-    /** Earliest end of a draining worker, in ms of the leader's clock, if announced. */
+    /** Earliest departure of a draining worker, in ms of the leader's clock, if announced. */
     leavesAtMs: number | undefined;
     /**
      * {@link WorkerRegistry.capacityVersion} when the worker last gained capacity or became usable.
--- a/dispatch/zone_ranking.ts
+++ b/dispatch/zone_ranking.ts
@@ -1,6 +1,7 @@
 /**
  * Ranks availability zones for a step's tasks. Tasks of a finite step share few zones, so that a
- * network partition delays few jobs. Perpetual tasks are spread, so that it affects few of them.
+ * network partition delays few jobs. Perpetual tasks are spread, so that a partition affects few of
+ * the step's tasks.
  *
  * @example
  * ```ts
--- a/job/facts.ts
+++ b/job/facts.ts
@@ -47,7 +47,7 @@
     | { readonly type: "workerSeen"; readonly worker: WorkerReport }
     /**
      * The workers' own clocks, in ms, at their last capacity reports; a new leader derives the age
-     * of the reports from it.
+     * of the reports from them.
      */
     | {
           readonly type: "workersHeard";
--- a/job/types.ts
+++ b/job/types.ts
@@ -138,8 +138,10 @@
     readonly pool: PoolName;
     /** Removed with the occurrences once the job has ended and no member can run any more. */
     spec: JobSpec | undefined;
+    /** When the job was accepted, in ms since 1970. */
     readonly acceptedAt: number;
     state: JobState;
+    /** When the job ended, in ms since 1970; `undefined` before that. */
     endedAt: number | undefined;
     readonly occurrences: Map<number, Occurrence>;
 }
