--- a/dispatch/capacity_test.ts
+++ b/dispatch/capacity_test.ts
@@ -134,7 +134,7 @@
 });
 
 // Guards against starts on a worker whose heartbeats, and so its capacity changes, are lost.
-test("a worker whose heartbeats are lost gets no new work although it answers orders", (t) => {
+test("a worker that answers orders but whose heartbeats are lost gets no start that exceeds its capacity", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 700 });
     cluster.runFor(2_000);
     cluster.dropHeartbeats("w1" as WorkerId);
@@ -163,7 +163,7 @@
 });
 
 // Guards against rejecting work as infeasible during a temporary capacity reduction.
-test("a job that fits the workers' full capacity is not rejected while it is reduced", (t) => {
+test("a job that fits the workers' full capacity is not rejected while that capacity is reduced", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 300 });
     cluster.runFor(2_000);
     for (const id of ["w1", "w2"]) {
@@ -218,7 +218,7 @@
 });
 
 // Guards against limits that hold for one capacity change but not for many, combined with faults.
-test("changing capacities are never allocated twice under other faults", (t) => {
+test("workers whose capacities change are never overcommitted under other faults, and all jobs complete", (t) => {
     const property = fc.property(fc.integer({ min: 1, max: 1_000_000 }), (seed) => {
         const random = createRandom(seed);
         let isFaultFree = false;
--- a/dispatch/crash_loop_test.ts
+++ b/dispatch/crash_loop_test.ts
@@ -58,7 +58,7 @@
     t.is(computeIsolationMs(buildCrashHistory("late", "late", "late")), Number.POSITIVE_INFINITY);
 });
 
-test("runs that outlasted their start are the weakest suspects in a worker crash", (t) => {
+test("runs past their startup are the weakest suspects in a worker crash", (t) => {
     const established = buildRun("a", { observedRunMs: 2_000 });
     const recent = buildRun("b");
     const unsent = buildRun("c", { startSends: 0 });
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -234,12 +234,16 @@
         );
         const updated = { ...record, capacity: confirmed, isDraining };
         if (state !== undefined && this.#isConflicting(state, updated, sequence)) {
-            this.#context.recordDecision("failure", "heartbeat contradicts its worker", {
-                worker: record.id,
-                address: record.address,
-                pool: record.pool,
-                sequence,
-            });
+            this.#context.recordDecision(
+                "failure",
+                "heartbeat conflicts with its worker's record",
+                {
+                    worker: record.id,
+                    address: record.address,
+                    pool: record.pool,
+                    sequence,
+                },
+            );
             return;
         }
         if (known === undefined || !isSameReport(known, updated)) {
--- a/dispatch/dispatcher_test.ts
+++ b/dispatch/dispatcher_test.ts
@@ -189,7 +189,7 @@
     t.true(cluster.runs.every((run) => run.worker === "w2" || run.worker === "w5"));
 });
 
-test("an advice call is routed through another front when its own is gone", (t) => {
+test("an advice call waits while there is no front and is made once one joins", (t) => {
     const queue = buildQueue({ advice: { decideMs: 50, perWorkerMs: 1, validMs: 2_000 } });
     const cluster = new SimulatedCluster({ workers: 2, queues: [queue] });
     cluster.dispatcher.setFronts([]);
--- a/dispatch/ranking_test.ts
+++ b/dispatch/ranking_test.ts
@@ -24,7 +24,7 @@
     t.true(rank(10_000) < rank(99_000, slow));
 });
 
-test("new jobs meet their objective after an outage despite the backlog", (t) => {
+test("most new jobs start promptly after an outage despite the backlog", (t) => {
     // During an 8 s outage a backlog of late jobs builds up. Guards against serving it first, which
     // would make new jobs late too.
     let isOutage = true;
