--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -342,7 +342,7 @@
 
     /** Commits pending facts, then queues their effects. */
     async #flush(): Promise<void> {
-        const { facts, effects } = this.#dispatcher.takeOutcome();
+        const { facts, effects } = this.#dispatcher.takeOutput();
         if (facts.length > 0) {
             await this.#propose(facts);
         }
--- a/dispatch/_attempts.ts
+++ b/dispatch/_attempts.ts
@@ -29,7 +29,7 @@
 /** Number of unanswered sends of a start after which the worker becomes suspect. */
 export const MAX_START_SENDS = 3;
 /** Outcomes that are recorded as failures. */
-const FAILURE_ENDS: ReadonlySet<MemberOutcome> = new Set([
+const FAILURE_OUTCOMES: ReadonlySet<MemberOutcome> = new Set([
     "failed",
     "lapsed",
     "broken",
@@ -157,7 +157,7 @@
      * @param member The member.
      * @returns The worker, or `undefined` if the member has ended.
      */
-    findActive(member: MemberRun): WorkerState | undefined {
+    findMemberWorker(member: MemberRun): WorkerState | undefined {
         const worker = this.#context.registry.findWorker(member.worker);
         return worker?.members.get(member.name) === member ? worker : undefined;
     }
@@ -167,11 +167,11 @@
      * fails its job.
      *
      * @param member The member.
-     * @param endKind How it ended.
+     * @param outcome How it ended.
      * @param checkpoint Its newest checkpoint; empty if there is none.
      */
-    endMember(member: MemberRun, endKind: MemberOutcome, checkpoint: string): void {
-        if (this.findActive(member) === undefined && endKind !== "lost") {
+    endMember(member: MemberRun, outcome: MemberOutcome, checkpoint: string): void {
+        if (this.findMemberWorker(member) === undefined && outcome !== "lost") {
             return;
         }
         const { unit: ref } = member;
@@ -183,25 +183,25 @@
             unit: ref,
             attempt: member.attempt,
             index: member.index,
-            how: endKind,
+            how: outcome,
             checkpoint,
         });
         this.#context.recordDecision(
-            FAILURE_ENDS.has(endKind) ? "failure" : "decision",
+            FAILURE_OUTCOMES.has(outcome) ? "failure" : "decision",
             "task ended",
             {
                 request: ref.job,
                 task: member.name,
                 attempt: member.attempt,
                 worker: member.worker,
-                how: endKind,
+                how: outcome,
                 tookMs: Math.round(this.#context.clock.getNow() - member.startedAtMs),
-                lastedMs: endKind === "lost" ? Math.round(member.observedRunMs) : undefined,
+                lastedMs: outcome === "lost" ? Math.round(member.observedRunMs) : undefined,
             },
         );
         this.#context.recordFreedCapacity(this.#context.registry.findWorker(member.worker));
         if (members !== undefined && members.size > 0) {
-            if (endKind !== "done") {
+            if (outcome !== "done") {
                 // A gang cannot continue without one of its members.
                 members.forEach((other) => this.stopMember(other));
             }
@@ -230,7 +230,7 @@
                 .forEach((key) => this.#context.adviceScheduler.removeCalls(key));
             return;
         }
-        if (!this.endIfFailed(ref)) {
+        if (!this.endJobIfUnitFailed(ref)) {
             this.#context.readySteps.addWaiting(ref);
         }
     }
@@ -241,7 +241,7 @@
      * @param ref The unit.
      * @returns Whether the job failed.
      */
-    endIfFailed(ref: UnitRef): boolean {
+    endJobIfUnitFailed(ref: UnitRef): boolean {
         const job = this.#context.stateStore.jobs.get(ref.job);
         const unit = this.#context.stateStore.findUnit(ref);
         if (job === undefined || unit === undefined || job.endedAt !== undefined || unit.isDone) {
@@ -314,7 +314,7 @@
      *
      * @param members The members.
      */
-    endMembers(members: readonly MemberRun[]): void {
+    endLostMembers(members: readonly MemberRun[]): void {
         members.forEach((member) => this.endMember(member, "lost", ""));
     }
 }
--- a/dispatch/_candidates.ts
+++ b/dispatch/_candidates.ts
@@ -4,7 +4,7 @@
  * @example
  * ```ts
  * import { listCandidates } from "./_candidates.ts";
- * const { admitted } = listCandidates(context, { step, queue, workers, isReserved, now });
+ * const { admitted } = listCandidates(context, { step, queue, workers, isUnavailable, now });
  * ```
  *
  * @module
@@ -23,7 +23,7 @@
     readonly queue: QueueConfig;
     readonly workers: Iterable<WorkerState>;
     /** Checks whether a worker is reserved for other steps or runs a task in isolation. */
-    readonly isReserved: (id: WorkerId) => boolean;
+    readonly isUnavailable: (id: WorkerId) => boolean;
     /** The current monotonic time, in ms. */
     readonly now: number;
 }
@@ -54,7 +54,7 @@
             record.pool === queue.pool &&
             (requiredLabel === undefined || record.labels.includes(requiredLabel)) &&
             context.registry.isUsable(worker, now) &&
-            !query.isReserved(record.id);
+            !query.isUnavailable(record.id);
         if (!isEligible) {
             continue;
         }
--- a/dispatch/_context.ts
+++ b/dispatch/_context.ts
@@ -17,7 +17,13 @@
 import { AdviceScheduler } from "./advice_scheduler.ts";
 import { AdmissionRates } from "./advice_plan.ts";
 import { ReadySteps } from "./ready_steps.ts";
-import type { DispatchClock, DispatchLimits, Effect, Outcome, RecordDecision } from "./types.ts";
+import type {
+    DispatchClock,
+    DispatchLimits,
+    Effect,
+    DispatchOutput,
+    RecordDecision,
+} from "./types.ts";
 import { WorkerRegistry, type WorkerState } from "./worker_registry.ts";
 
 /** Options of {@link DispatchContext}. */
@@ -107,11 +113,11 @@
     }
 
     /** Takes the facts and effects that were queued since the last call. */
-    takeOutcome(): Outcome {
-        const outcome = { facts: this.#facts, effects: this.#effects };
+    takeOutput(): DispatchOutput {
+        const output = { facts: this.#facts, effects: this.#effects };
         this.#facts = [];
         this.#effects = [];
-        return outcome;
+        return output;
     }
 
     /**
--- a/dispatch/_crash_isolation.ts
+++ b/dispatch/_crash_isolation.ts
@@ -31,7 +31,7 @@
 /** One worker out of this many may be reserved for suspects; at least one always may. */
 const WORKERS_PER_RESERVATION = 8;
 /** Minimum time between two extra polls of a worker, in ms. */
-const PROBE_INTERVAL_MS = 250;
+const EXTRA_POLL_INTERVAL_MS = 250;
 
 /** Manages the isolated starts of one leader. */
 export class CrashIsolation {
@@ -64,8 +64,8 @@
             const hasWaiting = (readySteps.findStep(key)?.waiting.size ?? 0) > 0;
             if (worker === undefined || !hasWaiting || !registry.isUsable(worker, now)) {
                 this.#releaseReservation(id);
-            } else if ([...worker.members.values()].some((member) => isProbeDue(member, now))) {
-                this.#probe(worker, now);
+            } else if ([...worker.members.values()].some((member) => isExtraPollDue(member, now))) {
+                this.#sendExtraPoll(worker, now);
             }
         }
         for (const [key, { step }] of this.#waitingUnits) {
@@ -112,7 +112,7 @@
      * @param step The step.
      * @returns The unit numbers.
      */
-    listSuspects(step: ReadyStep): number[] {
+    listSuspectUnits(step: ReadyStep): number[] {
         if (!step.hasCrashes) {
             return [];
         }
@@ -204,7 +204,7 @@
         ).length;
         const wantedReservations = step.spec.isGang
             ? step.spec.count
-            : this.listSuspects(step).length;
+            : this.listSuspectUnits(step).length;
         if (this.#reservations.size >= maxReservations || ownReservations >= wantedReservations) {
             return;
         }
@@ -241,15 +241,15 @@
             }
             isolated.push(member);
             const worker = this.#context.registry.findWorker(member.worker);
-            if (worker !== undefined && isProbeDue(member, now)) {
-                this.#probe(worker, now);
+            if (worker !== undefined && isExtraPollDue(member, now)) {
+                this.#sendExtraPoll(worker, now);
             }
         }
         return isolated;
     }
 
-    #probe(worker: WorkerState, now: number): void {
-        if (now - worker.extraPollAtMs >= PROBE_INTERVAL_MS) {
+    #sendExtraPoll(worker: WorkerState, now: number): void {
+        if (now - worker.extraPollAtMs >= EXTRA_POLL_INTERVAL_MS) {
             worker.extraPollAtMs = now;
             this.#context.emit({ type: "look", worker: worker.record.id });
         }
@@ -257,7 +257,7 @@
 }
 
 /** Checks whether a task may be past its startup although no poll has confirmed it yet. */
-function isProbeDue(member: MemberRun, now: number): boolean {
+function isExtraPollDue(member: MemberRun, now: number): boolean {
     return (
         member.state === "running" &&
         !isPastStartup(member) &&
--- a/dispatch/_evacuator.ts
+++ b/dispatch/_evacuator.ts
@@ -4,7 +4,7 @@
  * @example
  * ```ts
  * import { Evacuator } from "./_evacuator.ts";
- * new Evacuator(context, attempts).drainWorker(worker, now);
+ * new Evacuator(context, attempts).stopTasksBeforeDeparture(worker, now);
  * ```
  *
  * @module
@@ -36,7 +36,7 @@
      * @param worker The worker; ignored unless it is draining and has announced when it leaves.
      * @param now The current monotonic time, in ms.
      */
-    drainWorker(worker: WorkerState, now: number): void {
+    stopTasksBeforeDeparture(worker: WorkerState, now: number): void {
         const { record, leavesAtMs } = worker;
         if (!record.isDraining || leavesAtMs === undefined) {
             return;
--- a/dispatch/_fixtures.ts
+++ b/dispatch/_fixtures.ts
@@ -66,7 +66,7 @@
     readonly queues?: readonly QueueConfig[];
     /** Returns the fault to inject into an order. */
     readonly getFault?: (kind: "start" | "stop" | "look", worker: WorkerId) => OrderFault;
-    readonly getEnd?: (task: string, worker: WorkerId) => MemberOutcome;
+    readonly getOutcome?: (task: string, worker: WorkerId) => MemberOutcome;
     /**
      * Returns the delay from a task's start until it crashes its worker, in ms; `undefined` if it
      * does not.
@@ -323,7 +323,7 @@
                 this.#options.computeTaskMs?.(task, id) ?? this.#options.taskMs ?? 300,
             getDemand: (task) => this.#findTaskResources(task),
             getLoad: this.#options.getTailLatencyMs,
-            getOutcome: (task) => this.#options.getEnd?.(task, id) ?? "done",
+            getOutcome: (task) => this.#options.getOutcome?.(task, id) ?? "done",
             onStart: (run) => this.#handleRun(id, run),
             onAcknowledge: (end) => this.#invariants.recordAcknowledgedEnd(end),
         });
@@ -377,7 +377,7 @@
 
     /** Commits the dispatcher's pending facts after the commit delay, then runs its effects. */
     #flush(): void {
-        const { facts, effects } = this.dispatcher.takeOutcome();
+        const { facts, effects } = this.dispatcher.takeOutput();
         if (facts.length === 0 && effects.length === 0) {
             return;
         }
--- a/dispatch/_orders.ts
+++ b/dispatch/_orders.ts
@@ -51,7 +51,7 @@
      * @returns The order, or `undefined` if the start is obsolete or cannot be sent.
      */
     prepareStart(member: MemberRun): StartOrder | undefined {
-        const worker = this.#attempts.findActive(member);
+        const worker = this.#attempts.findMemberWorker(member);
         const job = this.#context.stateStore.jobs.get(member.unit.job);
         if (worker === undefined || job === undefined || member.state === "stopping") {
             return undefined;
@@ -92,7 +92,7 @@
      * @param answer The answer.
      */
     handleStartAnswer(member: MemberRun, answer: OrderAnswer): void {
-        const worker = this.#attempts.findActive(member);
+        const worker = this.#attempts.findMemberWorker(member);
         if (worker === undefined) {
             return;
         }
@@ -129,7 +129,7 @@
      * @returns The order, or `undefined` if the member has ended.
      */
     prepareStop(member: MemberRun): StopOrder | undefined {
-        const worker = this.#attempts.findActive(member);
+        const worker = this.#attempts.findMemberWorker(member);
         if (worker === undefined) {
             return undefined;
         }
@@ -144,7 +144,7 @@
      * @returns The order, or `undefined` if there is nothing to send.
      */
     preparePace(member: MemberRun): PaceOrder | undefined {
-        const worker = this.#attempts.findActive(member);
+        const worker = this.#attempts.findMemberWorker(member);
         if (worker === undefined || member.pacePercent === undefined) {
             return undefined;
         }
@@ -172,7 +172,7 @@
      * @param answer The answer.
      */
     handleStopAnswer(member: MemberRun, answer: OrderAnswer): void {
-        const worker = this.#attempts.findActive(member);
+        const worker = this.#attempts.findMemberWorker(member);
         if (worker === undefined) {
             return;
         }
--- a/dispatch/_pacer.ts
+++ b/dispatch/_pacer.ts
@@ -55,17 +55,17 @@
         if (worstRatio > PAUSE_THRESHOLD) {
             // Pause fully and at once: a missed target affects users, a paused filler only loses
             // time.
-            worker.belowTargetSinceMs = undefined;
+            worker.recoveryIntervalStartedAtMs = undefined;
             fillers.forEach((filler) => this.#setPace(filler, 0));
             return;
         }
         if (worstRatio > RECOVERY_THRESHOLD) {
-            worker.belowTargetSinceMs = undefined;
+            worker.recoveryIntervalStartedAtMs = undefined;
             return;
         }
-        worker.belowTargetSinceMs ??= now;
-        if (now - worker.belowTargetSinceMs >= RECOVERY_INTERVAL_MS) {
-            worker.belowTargetSinceMs = now;
+        worker.recoveryIntervalStartedAtMs ??= now;
+        if (now - worker.recoveryIntervalStartedAtMs >= RECOVERY_INTERVAL_MS) {
+            worker.recoveryIntervalStartedAtMs = now;
             fillers.forEach((filler) => {
                 const pace = filler.pacePercent ?? FULL_PERCENT;
                 this.#setPace(filler, Math.min(FULL_PERCENT, pace + RECOVERY_STEP_PERCENT));
--- a/dispatch/_placer.ts
+++ b/dispatch/_placer.ts
@@ -131,7 +131,7 @@
         if (
             step.hasCrashes &&
             sinceFullMatchMs >= GANG_MATCH_INTERVAL_MS &&
-            this.#isolation.listSuspects(step).length > 0
+            this.#isolation.listSuspectUnits(step).length > 0
         ) {
             return "all";
         }
@@ -170,9 +170,9 @@
     }
 
     #placeUnits(step: ReadyStep, candidates: StepCandidates, now: number): boolean {
-        const suspects = this.#isolation.listSuspects(step);
+        const suspects = this.#isolation.listSuspectUnits(step);
         const { retries, firstAttempts } = this.#listByFailures(step, suspects);
-        const hasPlacedSuspects = this.#placeSuspects(step, suspects, candidates, now);
+        const hasPlacedSuspects = this.#placeSuspectUnits(step, suspects, candidates, now);
         const available = this.#isolation.selectAvailable(candidates.admitted);
         const retryCandidates = selectForRetry(available, now - step.lastFailureAtMs);
         const hasPlacedRetries = this.#placeEach(step, retries, retryCandidates);
@@ -180,7 +180,7 @@
         return hasPlacedSuspects || hasPlacedRetries || hasPlacedFirstAttempts;
     }
 
-    #placeSuspects(
+    #placeSuspectUnits(
         step: ReadyStep,
         suspects: readonly number[],
         candidates: StepCandidates,
@@ -262,9 +262,9 @@
         now: number,
     ): StepCandidates {
         const { step, queue } = entry;
-        const isReserved = (id: WorkerId): boolean =>
+        const isUnavailable = (id: WorkerId): boolean =>
             this.#isolation.isBlocked(id, step) || this.#gangReservations.isReserved(id, entry);
-        return listCandidates(this.#context, { step, queue, workers, isReserved, now });
+        return listCandidates(this.#context, { step, queue, workers, isUnavailable, now });
     }
 
     #startAttempt(step: ReadyStep, unitNumber: number, workers: readonly WorkerId[]): void {
@@ -340,7 +340,7 @@
             const admissionRate = this.#context.admissionRates.get(queue.name);
             return planAdvice({ workers, tasks, admissionRate, policy });
         }
-        const suspects = this.#isolation.listSuspects(step);
+        const suspects = this.#isolation.listSuspectUnits(step);
         if (
             suspects.length === step.waiting.size &&
             hasCapacityForUnit(step, candidates.admitted)
--- a/dispatch/_worker_failures.ts
+++ b/dispatch/_worker_failures.ts
@@ -74,7 +74,7 @@
         }
         crashedAttempts.forEach(({ unit }) => this.#context.readySteps.recordCrash(unit));
         this.removeWorker(id, "replaced by another incarnation");
-        crashedAttempts.forEach(({ unit }) => this.#attempts.endIfFailed(unit));
+        crashedAttempts.forEach(({ unit }) => this.#attempts.endJobIfUnitFailed(unit));
     }
 
     /**
@@ -96,7 +96,7 @@
             worker: id,
             under: computeCrashEvidence(members),
         });
-        this.#attempts.endMembers(members);
+        this.#attempts.endLostMembers(members);
     }
 
     /**
@@ -129,7 +129,7 @@
             draining: worker.record.isDraining,
         });
         this.#context.recordFact({ type: "workerGone", worker: id });
-        this.#attempts.endMembers([...worker.members.values()]);
+        this.#attempts.endLostMembers([...worker.members.values()]);
         this.#context.registry.removeWorker(id);
     }
 }
--- a/dispatch/admission.ts
+++ b/dispatch/admission.ts
@@ -43,7 +43,7 @@
         return `no worker carries the label ${String(requiredLabel)}`;
     }
     const taskCounts = matchingWorkers.map((worker) =>
-        countFittingTasks(step, worker.fullCapacity),
+        countTasksOnIdleWorker(step, worker.fullCapacity),
     );
     if (taskCounts.every((count) => count === 0)) {
         return "no worker is large enough for one of its tasks";
@@ -55,7 +55,7 @@
     return undefined;
 }
 
-function countFittingTasks(step: StepSpec, capacity: Resources): number {
+function countTasksOnIdleWorker(step: StepSpec, capacity: Resources): number {
     const { needs } = step;
     let taskCount = step.maxPerWorker > 0 ? step.maxPerWorker : step.count;
     if (needs.cpu > 0 && !step.isFiller) {
--- a/dispatch/deployments_test.ts
+++ b/dispatch/deployments_test.ts
@@ -52,7 +52,7 @@
     const cluster = new SimulatedCluster({
         workers: 2,
         taskMs: 400,
-        getEnd: (task) => (task.endsWith(".0") ? "failed" : "done"),
+        getOutcome: (task) => (task.endsWith(".0") ? "failed" : "done"),
     });
     cluster.submit(JOB, buildSpec({ count: 4, maxPerWorker: 1 }));
     for (let i = 0; i < 40; i++) {
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -8,7 +8,7 @@
  * const dispatcher = new Dispatcher({ stateStore, clock, firstFence: term * 1_000_000 });
  * dispatcher.submit({ job, queue, pool, spec });
  * dispatcher.placeWaiting();
- * const { facts, effects } = dispatcher.takeOutcome();
+ * const { facts, effects } = dispatcher.takeOutput();
  * ```
  *
  * @module
@@ -43,7 +43,7 @@
     PollOrder,
     MemberRun,
     OrderAnswer,
-    Outcome,
+    DispatchOutput,
     PaceOrder,
     StartOrder,
     StopOrder,
@@ -116,8 +116,8 @@
      *
      * @returns Facts to replicate, and effects to run after they are committed.
      */
-    takeOutcome(): Outcome {
-        return this.#context.takeOutcome();
+    takeOutput(): DispatchOutput {
+        return this.#context.takeOutput();
     }
 
     /** Counts the accepted jobs of a queue that have not started a task. */
@@ -214,33 +214,33 @@
      * @param heartbeat The worker's report, sequence number and clock.
      */
     handleHeartbeat(heartbeat: Heartbeat): void {
-        const { record, sequence, clockMs, leavesInMs } = heartbeat;
-        if (this.#context.stateStore.isRemovedWorker(record.id)) {
+        const { record: report, sequence, clockMs, leavesInMs } = heartbeat;
+        if (this.#context.stateStore.isRemovedWorker(report.id)) {
             return;
         }
         const now = this.#context.clock.getNow();
-        const known = this.#context.stateStore.workers.get(record.id);
-        const state = this.#context.registry.findWorker(record.id);
+        const known = this.#context.stateStore.workers.get(report.id);
+        const state = this.#context.registry.findWorker(report.id);
         if (state !== undefined && sequence <= state.lastSequence) {
             return;
         }
         // Draining is final for a worker ID: a late heartbeat from before the drain must not bring
         // new work to the worker.
-        const isDraining = record.isDraining || (known?.isDraining ?? false);
+        const isDraining = report.isDraining || (known?.isDraining ?? false);
         const { capacity: confirmed, unconfirmed } = mergeCapacity(
-            known?.capacity ?? record.capacity,
-            record.capacity,
+            known?.capacity ?? report.capacity,
+            report.capacity,
             state?.unconfirmedCapacity,
         );
-        const updated = { ...record, capacity: confirmed, isDraining };
+        const updated = { ...report, capacity: confirmed, isDraining };
         if (state !== undefined && this.#isConflicting(state, updated, sequence)) {
             this.#context.recordDecision(
                 "failure",
                 "heartbeat conflicts with its worker's record",
                 {
-                    worker: record.id,
-                    address: record.address,
-                    pool: record.pool,
+                    worker: report.id,
+                    address: report.address,
+                    pool: report.pool,
                     sequence,
                 },
             );
@@ -252,15 +252,15 @@
                 "decision",
                 known === undefined ? "worker joined" : "worker changed",
                 {
-                    worker: record.id,
-                    address: record.address,
+                    worker: report.id,
+                    address: report.address,
                     draining: isDraining,
                     capacity: confirmed,
                 },
             );
-            this.#checkAddress(updated);
+            this.#pollSameAddress(updated);
         }
-        const recorded = this.#context.stateStore.workers.get(record.id);
+        const recorded = this.#context.stateStore.workers.get(report.id);
         if (recorded === undefined) {
             return;
         }
@@ -271,14 +271,14 @@
         worker.lastContactAtMs = now;
         worker.lastReport = { arrivedAtMs: now, clockMs };
         if (clockMs !== undefined) {
-            this.#unrecordedClocks.set(record.id, clockMs);
+            this.#unrecordedClocks.set(report.id, clockMs);
         }
         worker.unconfirmedCapacity = unconfirmed;
         worker.leavesAtMs = leavesInMs === undefined ? worker.leavesAtMs : now + leavesInMs;
         if (worker.isSuspect) {
             // The worker is alive but has not answered orders; it stays suspect until it answers a
             // poll.
-            this.#context.emit({ type: "look", worker: record.id });
+            this.#context.emit({ type: "look", worker: report.id });
         }
         if (clockMs !== undefined) {
             worker.clock.record(clockMs, now);
@@ -306,8 +306,8 @@
     ): void {
         const known = this.#context.stateStore.workers.get(id);
         if (known !== undefined) {
-            const record = { ...createReport(known), capacity };
-            this.handleHeartbeat({ record, sequence, clockMs, leavesInMs: undefined });
+            const report = { ...createReport(known), capacity };
+            this.handleHeartbeat({ record: report, sequence, clockMs, leavesInMs: undefined });
         }
     }
 
@@ -384,9 +384,9 @@
     }
 
     /** Polls other workers with the same address: all but one of them are earlier incarnations. */
-    #checkAddress(record: WorkerReport): void {
+    #pollSameAddress(report: WorkerReport): void {
         for (const other of this.#context.registry.workers) {
-            if (other.record.address === record.address && other.record.id !== record.id) {
+            if (other.record.address === report.address && other.record.id !== report.id) {
                 this.#context.emit({ type: "look", worker: other.record.id });
             }
         }
@@ -406,7 +406,7 @@
             worker.extraPollAtMs = now;
             this.#context.emit({ type: "look", worker: worker.record.id });
         }
-        this.#evacuator.drainWorker(worker, now);
+        this.#evacuator.stopTasksBeforeDeparture(worker, now);
         if (worker.pausedUntilMs > this.#tickedAtMs && worker.pausedUntilMs <= now) {
             this.#context.recordFreedCapacity(worker);
         }
--- a/dispatch/dispatcher_test.ts
+++ b/dispatch/dispatcher_test.ts
@@ -128,7 +128,7 @@
 });
 
 test("a task that uses up its attempts fails its job", (t) => {
-    const cluster = new SimulatedCluster({ workers: 4, getEnd: () => "failed" });
+    const cluster = new SimulatedCluster({ workers: 4, getOutcome: () => "failed" });
     cluster.submit(JOB, buildSpec({ count: 1 }));
     cluster.runFor(10_000);
     t.is(cluster.getJobState(JOB), "failed");
@@ -140,7 +140,7 @@
     const failingWorker = "w1" as WorkerId;
     const cluster = new SimulatedCluster({
         workers: 6,
-        getEnd: (_task, worker) => (worker === failingWorker ? "failed" : "done"),
+        getOutcome: (_task, worker) => (worker === failingWorker ? "failed" : "done"),
     });
     for (let i = 0; i < 60; i++) {
         cluster.submit(`000000000000${(4_096 + i).toString(16)}`, buildSpec({ count: 2 }));
@@ -221,7 +221,7 @@
 });
 
 test("a perpetual task is restarted however it ends", (t) => {
-    const cluster = new SimulatedCluster({ workers: 2, taskMs: 300, getEnd: () => "failed" });
+    const cluster = new SimulatedCluster({ workers: 2, taskMs: 300, getOutcome: () => "failed" });
     cluster.submit(JOB, buildSpec({ count: 1, isPerpetual: true }));
     cluster.runFor(12_000);
     t.is(cluster.getJobState(JOB), "running");
@@ -300,7 +300,7 @@
     const cluster = new SimulatedCluster({
         workers: 3,
         computeTaskMs: (_task, worker) => (worker === failingWorker ? 40 : 2_000),
-        getEnd: (_task, worker) => (worker === failingWorker ? "failed" : "done"),
+        getOutcome: (_task, worker) => (worker === failingWorker ? "failed" : "done"),
         queues: [buildQueue({ maxAttempts: 3 })],
     });
     cluster.runFor(300);
@@ -324,7 +324,7 @@
         firstFence: 2_000_000,
     });
     const polledWorkers = nextLeader
-        .takeOutcome()
+        .takeOutput()
         .effects.flatMap((effect) => (effect.type === "look" ? [effect.worker] : []));
     t.is(polledWorkers.length, 30);
     t.deepEqual(new Set(polledWorkers.slice(0, busy.size)), busy);
--- a/dispatch/matching_test.ts
+++ b/dispatch/matching_test.ts
@@ -63,7 +63,7 @@
     const cluster = new SimulatedCluster({
         workers: 1,
         taskMs: 100,
-        getEnd: (task) => (task.startsWith(WAITING_JOB) ? "done" : "failed"),
+        getOutcome: (task) => (task.startsWith(WAITING_JOB) ? "done" : "failed"),
     });
     cluster.submit(OCCUPYING_JOB, buildSpec({ count: 1 }));
     cluster.submit("00000000000000c3", buildSpec({ count: 1 }));
--- a/dispatch/types.ts
+++ b/dispatch/types.ts
@@ -236,7 +236,7 @@
 }
 
 /** Facts to replicate, and effects to run after they are committed. */
-export interface Outcome {
+export interface DispatchOutput {
     readonly facts: readonly Fact[];
     readonly effects: readonly Effect[];
 }
--- a/dispatch/worker_registry.ts
+++ b/dispatch/worker_registry.ts
@@ -80,7 +80,7 @@
      * When the current interval of latency below the recovery threshold began, in ms; `undefined`
      * while the latency is above the threshold.
      */
-    belowTargetSinceMs: number | undefined;
+    recoveryIntervalStartedAtMs: number | undefined;
     /** Sequence number of the newest heartbeat, used to drop late ones. */
     lastSequence: number;
     /** Earliest departure of a draining worker, in ms of the leader's clock, if announced. */
@@ -177,7 +177,7 @@
             consecutiveFailures: 0,
             lastFailedUnit: "",
             lastFailureAtMs: Number.NEGATIVE_INFINITY,
-            belowTargetSinceMs: undefined,
+            recoveryIntervalStartedAtMs: undefined,
             lastSequence: -1,
             leavesAtMs: undefined,
             capacityVersion: 0,
