--- a/control/_fixtures.ts
+++ b/control/_fixtures.ts
@@ -35,7 +35,7 @@
     readonly memberCount: number;
     readonly workerCount: number;
     readonly taskMs?: number;
-    /** The consensus timings; by default those of a small deployment. */
+    /** The consensus timings; by default those of a small group. */
     readonly timings?: ConsensusTimings;
     /** The number of members that are seeds at first; all by default. */
     readonly seedCount?: number;
--- a/control/busy_leader_test.ts
+++ b/control/busy_leader_test.ts
@@ -5,11 +5,12 @@
 import { buildConfiguration, buildLeadership, ClusterFixture, waitUntil } from "./_fixtures.ts";
 import { METHODS, type CallerCall } from "./calls.ts";
 
-// Guards against a busy leader whose lease expires while the event loop is blocked: calls were
-// forwarded in circles, and orders were dropped and counted as worker failures.
+// Guards against a leader whose lease expires while its event loop is blocked, and that then
+// forwards calls in circles, or drops orders and counts them as worker failures.
 
-/** The lease (1.6 s) can expire 0.35 s before the leader resigns without answers from a quorum. */
+/** The lease expires after 1.6 s, and a leader without a quorum resigns after 2 s. */
 const TIMINGS: ConsensusTimings = { heartbeatMs: 80, electionMs: 2_000 };
+/** Longer than the lease, but too short for the leader to resign. */
 const BLOCKED_MS = 1_650;
 const LEASE_RENEWAL_DELAY_MS = 150;
 const JOB = "00000000000000a1";
--- a/control/clock_jump_detector.ts
+++ b/control/clock_jump_detector.ts
@@ -20,8 +20,8 @@
 }
 
 /**
- * The minimum offset change that counts as a jump, in ms. It tolerates slewing and lies below the
- * unused part of the shortest election timeout (20% of 250 ms).
+ * The minimum offset change that counts as a jump, in ms. It tolerates slewing and is less than the
+ * time between the end of a lease and the shortest election timeout (20% of 250 ms).
  */
 const JUMP_THRESHOLD_MS = 40;
 
--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -68,7 +68,7 @@
 
 /** Options of {@link ControlDaemon}. */
 export interface ControlDaemonOptions {
-    /** The address of this instance's RPC server, `host:port`; also its member id. */
+    /** The address of this instance's RPC server, `host:port`; also its instance id. */
     readonly address: string;
     /** The address for workers and operators. */
     readonly publicAddress: string;
@@ -98,9 +98,12 @@
  * the leader.
  */
 const LARGE_DEPLOYMENT_WORKERS = 100;
-/** A replica without leader contact for this long serves no reads, in ms; three heartbeats. */
+/**
+ * A replica without leader contact for this long serves no reads, in ms; three heartbeat intervals
+ * of a small group.
+ */
 const MAX_REPLICA_STALENESS_MS = 150;
-/** The number of batches of facts between two snapshots; bounds the log to about 20 MB. */
+/** The number of batches of facts between two snapshots; bounds the size of the log. */
 const DEFAULT_BATCHES_PER_SNAPSHOT = 4_000;
 /** The timeout of a worker's or an operator's call that is forwarded to the leader, in ms. */
 const FORWARD_TIMEOUT_MS = 900;
@@ -109,7 +112,7 @@
  * redundancy.
  */
 const PEER_FRONTS_PER_ZONE = 2;
-/** The timeout of a message between members, in ms; about one election timeout. */
+/** The timeout of a message between members, in ms; the election timeout of a large group. */
 const PEER_TIMEOUT_MS = 400;
 
 /** A control instance. */
@@ -350,8 +353,10 @@
     }
 
     /**
-     * Reads a job's state from this replica while it is in contact with the leader. The caller is
-     * directed to the leader for jobs that aren't replicated here yet.
+     * Reads a job's state from this replica.
+     *
+     * @throws {MethodError} If this replica has lost contact with the leader or doesn't know the
+     *     job. The front then asks the leader.
      */
     async #readState(call: CallerCall): Promise<CallerAnswer> {
         const sinceLeaderContactMs = performance.now() - (this.#member?.lastLeaderContactMs ?? 0);
@@ -421,7 +426,7 @@
         });
     }
 
-    /** Waits for the leader lease; checks for a clock jump and counts expired leases. */
+    /** Waits for the leader lease if it has expired, and counts the calls that have to wait. */
     async #waitForLease(): Promise<boolean> {
         if (this.isServing || this.#leadership === undefined) {
             return this.isServing;
--- a/control/effect_queue.ts
+++ b/control/effect_queue.ts
@@ -27,14 +27,15 @@
      * tests.
      */
     readonly schedule?: (task: () => void, pauseMs: number) => void;
+    /** Returns the time of a monotonic clock, in ms. */
     readonly getNow?: () => number;
 }
 
 /** The maximum number of orders and advice calls per turn of the event loop. */
 const EFFECTS_PER_TURN = 16;
 /**
- * The maximum number of polls per burst, and the time between bursts in ms. A new leader polls all
- * workers.
+ * The maximum number of polls per burst, and the time between bursts in ms. Spreads the polls of a
+ * new leader, which polls all workers.
  */
 const POLLS_PER_BURST = 16;
 const POLL_BURST_INTERVAL_MS = 25;
--- a/control/effect_queue_test.ts
+++ b/control/effect_queue_test.ts
@@ -9,6 +9,7 @@
     /** Runs one turn of the event loop and returns the number of executed effects. */
     readonly runTurn: () => number;
     readonly countDrained: () => number;
+    /** The simulated time, in ms. */
     readonly clock: { now: number };
 }
 
--- a/control/keep_alive_batcher.ts
+++ b/control/keep_alive_batcher.ts
@@ -6,7 +6,7 @@
  * ```ts
  * import { KeepAliveBatcher } from "./keep_alive_batcher.ts";
  * const batcher = new KeepAliveBatcher({
- *     send: (signs) => router.call("control.signs", { signs }, 900),
+ *     send: (keepAlives) => router.call("control.signs", { signs: keepAlives }, 900),
  * });
  * if (batcher.isLeaderReachable) batcher.add({ worker, sequence, clockMs, capacity });
  * ```
@@ -21,6 +21,7 @@
 export interface KeepAliveBatcherOptions {
     /** Sends a batch to the leader; rejects if no leader accepted it. */
     readonly send: (keepAlives: readonly KeepAlive[]) => Promise<unknown>;
+    /** Returns the time of a monotonic clock, in ms. */
     readonly getNow?: () => number;
 }
 
--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -225,8 +225,7 @@
         const { record } = call;
         const { committedState } = this.#options;
         this.#dispatcher.handleHeartbeat(call);
-        // A drain must be committed before it is acknowledged, so that the next leader
-        // knows it.
+        // A drain must be committed before it is acknowledged, so that the next leader knows it.
         await this.#ensureCommitted(() => {
             const known = committedState.workers.get(record.id);
             const isRecorded = known !== undefined && (known.isDraining || !record.isDraining);
@@ -301,8 +300,8 @@
     }
 
     /**
-     * Commits pending decisions. If an earlier call has already taken the decision, waits for that
-     * call's batch.
+     * Commits pending decisions. If an earlier call has already proposed the decision, commits an
+     * empty batch, which completes only after that call's batch.
      */
     async #ensureCommitted(isCommitted: () => boolean): Promise<void> {
         await this.#flush();
@@ -482,7 +481,7 @@
 }
 
 /**
- * The upper bound of the age of advice, in ms. It covers the way back through the front; time in
- * queues doesn't count.
+ * The maximum age that is deducted from the validity of advice, in ms. It covers the return path
+ * through the front, but no time in queues.
  */
 const MAX_ADVICE_AGE_MS = 50;
--- a/control/round_trip_estimator.ts
+++ b/control/round_trip_estimator.ts
@@ -7,7 +7,7 @@
  * import { RoundTripEstimator } from "./round_trip_estimator.ts";
  * const estimator = new RoundTripEstimator();
  * estimator.record(4);
- * estimator.computeTimeoutMs(1); // 120
+ * estimator.computeTimeoutMs(0); // 120
  * ```
  *
  * @module
--- a/control/timings.ts
+++ b/control/timings.ts
@@ -13,16 +13,16 @@
 import type { ConsensusTimings } from "../log/mod.ts";
 
 /**
- * Timings of small deployments: failover completes well within a worker's lease. Heartbeats don't
- * wait for the disk, so a slow disk doesn't cause an election.
+ * Timings of small groups: failover completes well within a worker's lease. Heartbeats don't wait
+ * for the disk, so a slow disk doesn't cause an election.
  */
 const SMALL_TIMINGS: ConsensusTimings = { heartbeatMs: 50, electionMs: 250 };
 /**
- * Timings of large deployments. Shorter timeouts cause repeated elections while the instances
- * recover together from an outage.
+ * Timings of large groups. Shorter timeouts cause repeated elections while the instances recover
+ * together from an outage.
  */
 const LARGE_TIMINGS: ConsensusTimings = { heartbeatMs: 80, electionMs: 400 };
-/** Deployments that tolerate at least this many failed instances are large. */
+/** Groups that tolerate at least this many failed instances are large. */
 const LARGE_DEPLOYMENT_FAILURES = 2;
 
 /**
--- a/control/voter_planner.ts
+++ b/control/voter_planner.ts
@@ -1,7 +1,7 @@
 /**
- * Plans which control instances should be voters. A new leader keeps the current voters until it
- * has received hello messages from all live instances, so that a restart doesn't cause needless
- * membership changes.
+ * Plans which control instances should be voters. A new leader keeps the current voters for a
+ * stabilization period, in which it receives hello messages from all live instances, so that a
+ * restart doesn't cause needless membership changes.
  *
  * @example
  * ```ts
@@ -23,7 +23,7 @@
     readonly zone: string;
     /** The desired number of voters. */
     readonly targetVoters: number;
-    /** Instances from the settings: the initial voters, later only contacts. */
+    /** Lists the instances in the settings; they are the voters only until a group exists. */
     readonly listSeeds: () => readonly string[];
 }
 
--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -100,8 +100,9 @@
 /** Timeout of a probe of another front or of the leader's port, in ms. */
 const PEER_PROBE_TIMEOUT_MS = 250;
 /**
- * Timeout of a query about a whole queue, in ms. A query held through an outage would be answered
- * by a newer configuration than queries sent after it: the configuration would seem to go back.
+ * Timeout of a query about a whole queue, in ms. A query held through an outage could be answered
+ * from a newer configuration than queries sent after it, so that the configuration would seem to go
+ * back.
  */
 const QUEUE_QUERY_TIMEOUT_MS = 200;
 /** Backoff after a failed relay, and the time reserved for returning a relayed answer, in ms. */
@@ -281,7 +282,11 @@
         }
     }
 
-    /** @returns Whether the call may have been executed nevertheless. */
+    /**
+     * Logs why a call failed.
+     *
+     * @returns Whether the call may have been executed nevertheless.
+     */
     #handleCallFailure(call: CallerCall, error: Error): boolean {
         const mayHaveExecuted =
             error instanceof NoLeaderError
@@ -320,7 +325,7 @@
         }
     }
 
-    /** Reads a job's state from a replica; `undefined` if there is none or it does not answer. */
+    /** Reads a job's state from a replica; `undefined` if there is none or the read fails. */
     async #readState(call: CallerCall): Promise<CallerAnswer | undefined> {
         const replica = this.#replicas[this.#nextReplica++ % Math.max(1, this.#replicas.length)];
         if (replica === undefined) {
@@ -410,7 +415,7 @@
     }
 }
 
-/** Returns whether a call is about a job, so that its path ends with an id, not about a queue. */
+/** Returns whether a call is about a job, whose id ends its path, rather than about a queue. */
 function isJobCall(call: CallerCall): boolean {
     return call.type !== "state" || isJobId(call.path.slice(call.path.lastIndexOf("/") + 1));
 }
--- a/front/leader_reachability.ts
+++ b/front/leader_reachability.ts
@@ -49,6 +49,7 @@
     readonly canConnect?: (address: string) => Promise<boolean>;
     /** Called with a leader that a peer reaches and that this front can connect to. */
     readonly onLeaderFound?: (leader: string) => void;
+    /** Returns the time of a monotonic clock, in ms. */
     readonly getNow?: () => number;
 }
 
--- a/group/peer_network.ts
+++ b/group/peer_network.ts
@@ -1,6 +1,6 @@
 /**
- * Transports consensus messages between entry instances over JSON-RPC. Each member has at most one
- * call in flight per group, and a newer append supersedes a queued one.
+ * Transports consensus messages between entry instances over JSON-RPC. At most one call per group
+ * and receiving member is in flight; a newer append or snapshot supersedes a queued one.
  *
  * @example
  * ```ts
--- a/log/_fixtures.ts
+++ b/log/_fixtures.ts
@@ -42,6 +42,7 @@
     readonly #cutLinks = new Set<string>();
     #queue: InFlightMessage[] = [];
     #random: () => number;
+    /** The simulated time, in ms. */
     now = 0;
     /** Every entry that a member committed, by index; a different entry there is a violation. */
     readonly committed = new Map<number, LogEntry>();
--- a/log/_followers.ts
+++ b/log/_followers.ts
@@ -94,7 +94,7 @@
         this.#progress.clear();
     }
 
-    /** Discards all acknowledgment times, so that only later ones count towards the lease. */
+    /** Discards all acknowledgement times, so that only later ones count towards the lease. */
     invalidateAcks(): void {
         for (const progress of this.#progress.values()) {
             progress.ackedSentAtMs = Number.NEGATIVE_INFINITY;
--- a/log/consensus.ts
+++ b/log/consensus.ts
@@ -121,13 +121,15 @@
     #electionDeadlineMs = 0;
     #lastLeaderContactMs = Number.NEGATIVE_INFINITY;
     #grantedVotes = new Set<MemberId>();
+    /** The time from which a quorum has one election timeout to acknowledge, in ms. */
     #quorumWaitStartMs = 0;
     readonly #followers: Followers;
+    /** The index of the no-op entry that this member appended when it became the leader. */
     #termStartIndex = 0;
     /** Start time of a leadership transfer, which ends the lease. */
     #transferStartMs: number | undefined;
     #resignCause: ResignCause = "higher_term";
-    /** Acknowledgments of messages sent before this time do not renew the lease. */
+    /** Acknowledgements of messages sent before this time do not renew the lease. */
     #acksValidFromMs = Number.NEGATIVE_INFINITY;
     /** Builds the snapshot for members whose next entry is already compacted. */
     buildSnapshot: (() => Snapshot | undefined) | undefined;
@@ -309,7 +311,8 @@
      * Appends commands as one entry if this member is the leader.
      *
      * @param commands The state machine commands.
-     * @param now The time in ms, used as the send time that a quorum acknowledges.
+     * @param now The time in ms; by default that of the last event. It becomes the send time of the
+     *     messages that carry the entry.
      * @returns The entry's index, or `undefined` if this member is not the leader.
      */
     propose(commands: readonly unknown[], now = this.#now): number | undefined {
@@ -666,8 +669,7 @@
             this.#sendVoteResponse(from, true, granted ? message.term : this.#term, granted);
             return;
         }
-        // A learner may vote too: the candidate's log may contain a configuration with it as a
-        // voter that it has not received yet.
+        // A learner may vote too: a configuration that it has not received yet may make it a voter.
         if (hasActiveLeader && !message.isTransfer) {
             this.#sendVoteResponse(from, false, this.#term, false);
             return;
@@ -741,7 +743,7 @@
         this.#sendAppendResponse(from, true, lastMatchedIndex, message.sentAt);
     }
 
-    /** Campaigns at the leader's request, without the pre-vote that its followers would refuse. */
+    /** Campaigns at the leader's request, without the pre-vote that other voters would refuse. */
     #handleTransfer(from: MemberId, message: TransferRequest): void {
         this.#sendAppendResponse(from, true, this.#commitIndex, message.sentAt);
         if (this.#role === "follower" && message.term === this.#term && this.#leader === from) {
--- a/log/consensus_test.ts
+++ b/log/consensus_test.ts
@@ -60,7 +60,7 @@
 });
 
 test("a paused leader holds no lease after it resumes", (t) => {
-    // The process is paused (SIGSTOP) while a successor is elected and still has the leader role.
+    // A process paused with SIGSTOP still has the leader role after a successor was elected.
     const group = new GroupFixture({ memberCount: 3, seed: 11 });
     group.runFor(5_000);
     const oldLeader = getLeader(group);
@@ -268,7 +268,7 @@
 }
 
 test("a group elects a leader within one election timeout after all members restart", (t) => {
-    // Guards against a second election timeout when the first pre-vote precedes the other starts.
+    // Guards against a second election timeout if one member's pre-vote precedes the other starts.
     for (let seed = 1; seed <= 20; seed++) {
         const group = new GroupFixture({ memberCount: 3, seed });
         group.runFor(4_000);
--- a/log/replica.ts
+++ b/log/replica.ts
@@ -256,7 +256,10 @@
         return this.#appliedIndex;
     }
 
-    /** Whether this member is the leader, has a valid lease and applied all earlier terms. */
+    /**
+     * Whether this member is the leader, has a valid lease and has applied all entries of earlier
+     * terms.
+     */
     get isServing(): boolean {
         return this.#isLeadershipEstablished && this.#consensus.hasLease(this.#getNow());
     }
--- a/membership/identity.ts
+++ b/membership/identity.ts
@@ -1,6 +1,6 @@
 /**
  * Member identity in replicated groups: the instance id and the incarnation of its data directory.
- * An instance that lost its disk joins as a new member, so that lost votes cannot be cast again.
+ * An instance that lost its disk joins as a new member, so that it cannot vote twice in one term.
  *
  * @example
  * ```ts
--- a/membership/leader_router.ts
+++ b/membership/leader_router.ts
@@ -47,6 +47,7 @@
     readonly listSeeds: () => readonly string[];
     /** Time without any response after which calls to an instance fail, in ms. */
     readonly inactivityTimeoutMs?: number;
+    /** Returns the time of a monotonic clock, in ms. */
     readonly getNow?: () => number;
 }
 
