--- a/control/timings_test.ts
+++ b/control/timings_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { selectFailoverTimeoutMs, selectTimings } from "./timings.ts";
 
-test("large deployments share one longer election timeout", (t) => {
+test("large groups share one longer election timeout", (t) => {
     const small = selectTimings(1);
     const large = selectTimings(2);
     t.true(small.electionMs < large.electionMs);
--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -335,7 +335,9 @@
             .getClient(replica)
             .call<CallerAnswer>(METHODS.readState, call)
             .catch((error: Error) => {
-                this.#options.log.debug("replica did not answer", { error: error.message });
+                this.#options.log.debug("state read from a replica failed", {
+                    error: error.message,
+                });
                 return undefined;
             });
     }
--- a/front/leader_reachability_test.ts
+++ b/front/leader_reachability_test.ts
@@ -38,7 +38,7 @@
     t.deepEqual(classifyAnswers([], ZONE), { type: "outage" });
 });
 
-test("peers are probed only while the leader does not answer, and the result is then discarded", async (t) => {
+test("peers are probed only while the leader does not answer, and its next answer discards the result", async (t) => {
     let now = 1_000;
     let probes = 0;
     const reachability = new LeaderReachability({
--- a/log/storage.ts
+++ b/log/storage.ts
@@ -54,7 +54,7 @@
      * @param line The number of the corrupt line, from 1; 0 for the whole file.
      */
     constructor(file: string, line: number) {
-        super(`${file}:${line}: corrupt before its end; replace this member's disk`);
+        super(`${file}:${line}: checksum mismatch; replace this member's disk`);
         this.name = "StorageCorruptError";
     }
 }
