--- a/control/_fixtures.ts
+++ b/control/_fixtures.ts
@@ -58,7 +58,7 @@
     readonly logLines: string[] = [];
     readonly #options: ClusterOptions;
     readonly front: FrontDaemon;
-    #heartbeats: NodeJS.Timeout | undefined;
+    #heartbeatTimer: NodeJS.Timeout | undefined;
     #sequence = 0;
 
     private constructor(options: ClusterOptions, addresses: readonly string[]) {
@@ -88,7 +88,7 @@
         }
         await Promise.all(cluster.#addresses.map((address) => cluster.startMember(address, true)));
         await cluster.front.start();
-        cluster.#heartbeats = setInterval(() => void cluster.#sendHeartbeats(), 200);
+        cluster.#heartbeatTimer = setInterval(() => void cluster.#sendHeartbeats(), 200);
         return cluster;
     }
 
@@ -136,7 +136,7 @@
 
     /** Stops all processes and deletes the data folders. */
     async stop(): Promise<void> {
-        clearInterval(this.#heartbeats);
+        clearInterval(this.#heartbeatTimer);
         await this.front.stop();
         await Promise.all([...this.daemons.values()].map((daemon) => daemon.stop()));
         rmSync(this.#dir, { recursive: true });
--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -124,10 +124,11 @@
     readonly #clock = new LeaderClock();
     readonly #clockJumpDetector: ClockJumpDetector;
     readonly #network: PeerNetwork;
-    readonly #clients = new RpcClientPool({ timeoutMs: FORWARD_TIMEOUT_MS });
+    readonly #frontClients = new RpcClientPool({ timeoutMs: FORWARD_TIMEOUT_MS });
     readonly #router: LeaderRouter;
-    readonly #keepAlives = new KeepAliveBatcher({
-        send: (signs) => this.#router.call(METHODS.keepAlives, { signs }, FORWARD_TIMEOUT_MS),
+    readonly #keepAliveBatcher = new KeepAliveBatcher({
+        send: (keepAlives) =>
+            this.#router.call(METHODS.keepAlives, { signs: keepAlives }, FORWARD_TIMEOUT_MS),
     });
     readonly #instances = new InstanceRegistry();
     readonly #voterPlanner: VoterPlanner;
@@ -155,7 +156,7 @@
         this.#voterPlanner = new VoterPlanner({
             self: this.#self,
             zone: options.zone,
-            targetVoters: 2 * options.toleratedFailures + 1,
+            targetSize: 2 * options.toleratedFailures + 1,
             listSeeds: options.listSeeds,
         });
         this.#clockJumpDetector = new ClockJumpDetector(() =>
@@ -257,7 +258,7 @@
     async handleHeartbeat(call: HeartbeatCall): Promise<void> {
         if (this.#isKeepAlive(call)) {
             const { record, sequence, clockMs } = call;
-            this.#keepAlives.add({
+            this.#keepAliveBatcher.add({
                 worker: record.id,
                 sequence,
                 clockMs,
@@ -345,7 +346,7 @@
         return (
             this.#isLargeDeployment() &&
             !this.isServing &&
-            this.#keepAlives.isLeaderReachable &&
+            this.#keepAliveBatcher.isLeaderReachable &&
             !call.record.isDraining &&
             known !== undefined &&
             isSameReport(known, call.record)
@@ -473,7 +474,7 @@
                 getWallTime: () => this.#clock.getNow(),
             },
             workerCalls: this.#options.workerCalls,
-            advise: (lane, call) => this.#sendAdvise(lane, call),
+            advise: (front, call) => this.#sendAdvise(front, call),
             limits: this.#options.limits,
             metrics: this.#options.metrics,
             log: this.#options.log,
@@ -494,9 +495,9 @@
         this.#leadership = undefined;
     }
 
-    #sendAdvise(lane: FrontId, call: AdviseCall): Promise<AdviseAnswer> {
-        return this.#clients
-            .getClient(lane)
+    #sendAdvise(front: FrontId, call: AdviseCall): Promise<AdviseAnswer> {
+        return this.#frontClients
+            .getClient(front)
             .call<AdviseAnswer>(METHODS.advise, call, call.timeoutMs + PEER_TIMEOUT_MS);
     }
 
@@ -544,7 +545,7 @@
                 return undefined;
             });
         if (answer !== undefined) {
-            this.#keepAlives.recordLeaderContact();
+            this.#keepAliveBatcher.recordLeaderContact();
             this.#leaderPublicAddress = answer.publicAddress;
             this.#router.setMembers(answer.members);
         }
--- a/control/daemon_test.ts
+++ b/control/daemon_test.ts
@@ -38,10 +38,20 @@
     t.deepEqual(await cluster.front.handleCaller(buildSubmit(id), 3_000), { type: "accepted" });
     await waitForJobState(cluster, id, "complete");
     t.is(cluster.startedTasks.length, 2);
-    const unknown: CallerCall = { type: "state", host: HOST, path: "/previews/00000000000000ff" };
-    t.deepEqual(await cluster.front.handleCaller(unknown, 2_000), { type: "unknownJob" });
-    const elsewhere: CallerCall = { type: "state", host: HOST, path: "/nowhere/00000000000000ff" };
-    t.deepEqual(await cluster.front.handleCaller(elsewhere, 2_000), { type: "unknownQueue" });
+    const unknownJobCall: CallerCall = {
+        type: "state",
+        host: HOST,
+        path: "/previews/00000000000000ff",
+    };
+    t.deepEqual(await cluster.front.handleCaller(unknownJobCall, 2_000), { type: "unknownJob" });
+    const unknownQueueCall: CallerCall = {
+        type: "state",
+        host: HOST,
+        path: "/nowhere/00000000000000ff",
+    };
+    t.deepEqual(await cluster.front.handleCaller(unknownQueueCall, 2_000), {
+        type: "unknownQueue",
+    });
 });
 
 test.serial("accepted jobs survive a leader failover and run exactly once", async (t) => {
--- a/control/keep_alive_batcher_test.ts
+++ b/control/keep_alive_batcher_test.ts
@@ -15,8 +15,8 @@
 test("keep-alives are sent as one batch with the latest of each worker", async (t) => {
     const sent: KeepAlive[][] = [];
     const batcher = new KeepAliveBatcher({
-        send: (signs) => {
-            sent.push([...signs]);
+        send: (keepAlives) => {
+            sent.push([...keepAlives]);
             return Promise.resolve();
         },
     });
--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -71,7 +71,7 @@
     readonly clock: DispatchClock;
     readonly workerCalls: WorkerCalls;
     /** Calls the advice service through a front. */
-    readonly advise: (lane: FrontId, call: AdviseCall) => Promise<AdviseAnswer>;
+    readonly advise: (front: FrontId, call: AdviseCall) => Promise<AdviseAnswer>;
     readonly limits?: Partial<DispatchLimits>;
     readonly metrics?: ControlMetrics;
     readonly log: Logger;
@@ -456,17 +456,17 @@
     }
 
     async #runAdvise(effect: Extract<Effect, { type: "advise" }>): Promise<void> {
-        const { call, front: lane } = effect;
+        const { call, front } = effect;
         const timeoutMs = Math.ceil(
             computeCallMs(call) * ADVICE_TIMEOUT_FACTOR + ADVICE_TIMEOUT_MARGIN_MS,
         );
         const startedAtMs = this.#options.clock.getNow();
         const answer = await this.#options
-            .advise(lane, { step: call.step, workers: call.workers, timeoutMs })
+            .advise(front, { step: call.step, workers: call.workers, timeoutMs })
             .catch((error: Error) => {
                 this.#options.log.warn("advice call failed", {
                     step: call.step,
-                    lane,
+                    lane: front,
                     error: error.message,
                 });
                 return { admissions: undefined };
--- a/control/state_reader.ts
+++ b/control/state_reader.ts
@@ -21,7 +21,7 @@
  */
 const DEFAULT_MAX_WAIT_MS = 200;
 /** The maximum number of reads that wait at the same time; further ones return immediately. */
-const MAX_WAITING_READS = 2_000;
+const MAX_PENDING_READS = 2_000;
 
 interface PendingRead {
     readonly job: JobId;
@@ -57,7 +57,11 @@
      */
     async readState(id: JobId): Promise<CallerAnswer | undefined> {
         const job = this.#store.jobs.get(id);
-        if (job !== undefined && isAboutToEnd(job) && this.#pendingReads.size < MAX_WAITING_READS) {
+        if (
+            job !== undefined &&
+            isRunningOneShot(job) &&
+            this.#pendingReads.size < MAX_PENDING_READS
+        ) {
             await this.#waitForEnd(id);
         }
         const known = this.#store.jobs.get(id);
@@ -91,7 +95,7 @@
 }
 
 /** Returns whether a job is running and has neither repeats nor perpetual tasks. */
-function isAboutToEnd(job: Job): boolean {
+function isRunningOneShot(job: Job): boolean {
     const isOneShot = job.spec?.repeats === 0 && job.spec.steps.every((step) => !step.isPerpetual);
     return job.state === "running" && isOneShot;
 }
--- a/control/timings.ts
+++ b/control/timings.ts
@@ -23,7 +23,7 @@
  */
 const LARGE_TIMINGS: ConsensusTimings = { heartbeatMs: 80, electionMs: 400 };
 /** Groups that tolerate at least this many failed instances are large. */
-const LARGE_DEPLOYMENT_FAILURES = 2;
+const LARGE_GROUP_FAILURES = 2;
 
 /**
  * Selects the timings of a control group. All members must use the same, because the leader lease
@@ -33,7 +33,7 @@
  * @returns The timings.
  */
 export function selectTimings(toleratedFailures: number): ConsensusTimings {
-    return toleratedFailures >= LARGE_DEPLOYMENT_FAILURES ? LARGE_TIMINGS : SMALL_TIMINGS;
+    return toleratedFailures >= LARGE_GROUP_FAILURES ? LARGE_TIMINGS : SMALL_TIMINGS;
 }
 
 /** The margin of the failover timeout over the election timeout, in ms. */
--- a/control/voter_planner.ts
+++ b/control/voter_planner.ts
@@ -6,7 +6,7 @@
  * @example
  * ```ts
  * import { VoterPlanner } from "./voter_planner.ts";
- * const planner = new VoterPlanner({ self, zone, targetVoters: 3, listSeeds });
+ * const planner = new VoterPlanner({ self, zone, targetSize: 3, listSeeds });
  * planner.startLeading(nowMs);
  * planner.planVoters(nowMs, currentVoters, liveInstances);
  * planner.listDesiredVoters(currentVoters);
@@ -22,7 +22,7 @@
     readonly self: EntryId;
     readonly zone: string;
     /** The desired number of voters. */
-    readonly targetVoters: number;
+    readonly targetSize: number;
     /** Lists the instances in the settings; they are the voters only until a group exists. */
     readonly listSeeds: () => readonly string[];
 }
@@ -75,11 +75,11 @@
         if (nowMs - this.#leadingSinceMs < STABILIZATION_MS) {
             return;
         }
-        const { self, zone, targetVoters: target } = this.#options;
+        const { self, zone, targetSize } = this.#options;
         this.#plannedVoters = planVoters({
             current: currentVoters,
             live: new Map(liveInstances).set(self, zone),
-            targetSize: target,
+            targetSize,
         });
     }
 
--- a/control/voter_planner_test.ts
+++ b/control/voter_planner_test.ts
@@ -5,7 +5,7 @@
 const [A, B, C, D] = ["a:1", "b:1", "c:1", "d:1"] as [EntryId, EntryId, EntryId, EntryId];
 
 function buildPlanner(seeds: readonly string[]): VoterPlanner {
-    return new VoterPlanner({ self: A, zone: "z1", targetVoters: 3, listSeeds: () => seeds });
+    return new VoterPlanner({ self: A, zone: "z1", targetSize: 3, listSeeds: () => seeds });
 }
 
 test("the seeds are the voters only until a group exists", (t) => {
--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -131,7 +131,7 @@
     #leaderAddress = "";
     readonly #replicaClients = new RpcClientPool({ timeoutMs: REPLICA_READ_TIMEOUT_MS });
     #replicas: readonly string[] = [];
-    #nextReplica = 0;
+    #nextReplicaIndex = 0;
 
     /**
      * @param options Addresses, seeds and the advice service; see {@link FrontDaemonOptions}.
@@ -327,7 +327,8 @@
 
     /** Reads a job's state from a replica; `undefined` if there is none or the read fails. */
     async #readState(call: CallerCall): Promise<CallerAnswer | undefined> {
-        const replica = this.#replicas[this.#nextReplica++ % Math.max(1, this.#replicas.length)];
+        const replica =
+            this.#replicas[this.#nextReplicaIndex++ % Math.max(1, this.#replicas.length)];
         if (replica === undefined) {
             return undefined;
         }
--- a/front/daemon_test.ts
+++ b/front/daemon_test.ts
@@ -34,12 +34,12 @@
 async function startFronts(t: ExecutionContext, isOtherDirect: boolean): Promise<Fixture> {
     const [address, otherAddress] = [await findFreeAddress(), await findFreeAddress()];
     const peers: PeerFront[] = [{ address: otherAddress, zone: "b" }];
-    let calls = 0;
+    let callCount = 0;
     const leader = await startRpcServer({
         methods: {
             [METHODS.hello]: (params) => buildHelloAnswer(peers, params as HelloCall),
             [METHODS.callers]: () => {
-                calls += 1;
+                callCount += 1;
                 return { type: "cancelled" };
             },
         },
@@ -61,7 +61,7 @@
         await leader.close();
     });
     await waitFor(() => front.isReady && otherFront.isReady);
-    return { faultRelay, front, otherFront, countCalls: () => calls };
+    return { faultRelay, front, otherFront, countCalls: () => callCount };
 }
 
 function buildHelloAnswer(peers: readonly PeerFront[], call: HelloCall): HelloAnswer {
@@ -159,12 +159,12 @@
     fixture.faultRelay.setMode("refuse");
     await wait(ISOLATION_DETECTION_MS);
     const startedAtMs = performance.now();
-    const count: CallerCall = { type: "state", host: "studio.example", path: "/p/" };
-    const answer = await fixture.front.handleCaller(count, CALL_TIMEOUT_MS);
+    const queueQuery: CallerCall = { type: "state", host: "studio.example", path: "/p/" };
+    const answer = await fixture.front.handleCaller(queueQuery, CALL_TIMEOUT_MS);
     t.true(answer.type === "unreached" || answer.type === "unknown");
     t.true(performance.now() - startedAtMs < 700);
-    const state: CallerCall = { ...count, path: "/p/00000000000000a1" };
-    const held = fixture.front.handleCaller(state, CALL_TIMEOUT_MS);
+    const jobQuery: CallerCall = { ...queueQuery, path: "/p/00000000000000a1" };
+    const held = fixture.front.handleCaller(jobQuery, CALL_TIMEOUT_MS);
     await wait(600);
     fixture.faultRelay.setMode("open");
     t.deepEqual(await held, { type: "cancelled" });
--- a/group/group_member.ts
+++ b/group/group_member.ts
@@ -62,7 +62,7 @@
     readonly #options: GroupMemberOptions<C, R>;
     readonly #replica: Replica<C, R>;
     readonly #memberId: MemberId;
-    #maintenance: Subscription | undefined;
+    #maintenanceSubscription: Subscription | undefined;
     #nextPeerIndex = 0;
     #warningIntervalStartMs: number | undefined;
     /** Time of the last message from a leader on the monotonic clock, in ms. */
@@ -74,7 +74,7 @@
     constructor(options: GroupMemberOptions<C, R>) {
         this.#options = options;
         this.#memberId = createMemberId(options.self, options.incarnation);
-        const firstVoters = options.group.voters.map((id) => createMemberId(id));
+        const initialVoters = options.group.voters.map((id) => createMemberId(id));
         this.#replica = new Replica<C, R>({
             ...options,
             self: this.#memberId,
@@ -83,14 +83,14 @@
                     ? new MemoryStorage()
                     : FileStorage.open({
                           dir: join(options.dataDir, options.group.id),
-                          initialVoters: firstVoters,
+                          initialVoters,
                       }),
             transport: options.network.createTransport(
                 options.group.id,
                 this.#memberId,
                 () => this.#replica,
             ),
-            initialVoters: firstVoters,
+            initialVoters,
             onStorageError: (error) => {
                 options.log.error("storage write failed; retrying", {
                     group: options.group.id,
@@ -103,7 +103,7 @@
     /** Starts the replica and the periodic maintenance of its membership. */
     start(): void {
         this.#replica.start();
-        this.#maintenance = interval(MAINTENANCE_INTERVAL_MS).subscribe(() =>
+        this.#maintenanceSubscription = interval(MAINTENANCE_INTERVAL_MS).subscribe(() =>
             this.#runMaintenance(),
         );
         this.#runMaintenance();
@@ -111,7 +111,7 @@
 
     /** Transfers leadership if this instance leads, and stops the replica and its maintenance. */
     async stop(): Promise<void> {
-        this.#maintenance?.unsubscribe();
+        this.#maintenanceSubscription?.unsubscribe();
         if (this.#replica.role === "leader" && this.#replica.voters.length > 1) {
             await this.#replica.resign();
         }
@@ -266,8 +266,8 @@
     #removeUnresponsiveLearners(): void {
         for (const learner of this.#replica.listLearners()) {
             if (
-                learner.ackedAtMs !== Number.NEGATIVE_INFINITY &&
-                performance.now() - learner.ackedAtMs > LEARNER_TIMEOUT_MS
+                learner.ackedSentAtMs !== Number.NEGATIVE_INFINITY &&
+                performance.now() - learner.ackedSentAtMs > LEARNER_TIMEOUT_MS
             ) {
                 this.#replica.removeLearner(learner.member);
             }
--- a/log/consensus.ts
+++ b/log/consensus.ts
@@ -406,10 +406,10 @@
      *
      * @returns Each learner and the send time of the last message that it acknowledged, in ms.
      */
-    listLearners(): { readonly member: MemberId; readonly ackedAtMs: number }[] {
+    listLearners(): { readonly member: MemberId; readonly ackedSentAtMs: number }[] {
         return [...this.#followers.entries]
             .filter(([member]) => !this.#voters.includes(member))
-            .map(([member, p]) => ({ member, ackedAtMs: p.ackedSentAtMs }));
+            .map(([member, p]) => ({ member, ackedSentAtMs: p.ackedSentAtMs }));
     }
 
     /**
--- a/log/consensus_test.ts
+++ b/log/consensus_test.ts
@@ -114,15 +114,15 @@
     const group = new GroupFixture({ memberCount: 3, seed: 21 });
     group.runFor(5_000);
     const leader = getLeader(group);
-    const [campaigner, restarted] = group.ids.filter((id) => id !== leader) as [MemberId, MemberId];
-    group.setLink(leader, campaigner, false);
+    const [candidate, restarted] = group.ids.filter((id) => id !== leader) as [MemberId, MemberId];
+    group.setLink(leader, candidate, false);
     group.runFor(1_500);
     t.is(getLeader(group), leader);
     group.crashMember(restarted);
     group.startMember(restarted);
     group.setLink(leader, restarted, false);
     group.nodes.get(restarted)?.receive(
-        campaigner,
+        candidate,
         {
             type: "voteRequest",
             pre: false,
@@ -133,9 +133,9 @@
         },
         group.now,
     );
-    const answer = group.nodes.get(restarted)?.takeReady().messagesAfterPersist[0]?.message;
+    const response = group.nodes.get(restarted)?.takeReady().messagesAfterPersist[0]?.message;
     t.true(group.nodes.get(leader)?.hasLease(group.now));
-    t.like(answer, { type: "voteResponse", granted: false });
+    t.like(response, { type: "voteResponse", granted: false });
 });
 
 test("a leadership transfer elects a new leader at once and ends the old leader's lease", (t) => {
@@ -168,10 +168,10 @@
         group.handleMessage(0, false);
     }
     const node = group.nodes.get(m1);
-    const answer = { type: "appendResponse", ok: true, sentAt: group.now } as const;
-    node?.receive(m2, { ...answer, term: node.term, index: 2 }, group.now);
+    const response = { type: "appendResponse", ok: true, sentAt: group.now } as const;
+    node?.receive(m2, { ...response, term: node.term, index: 2 }, group.now);
     t.is(node?.commitIndex, 0);
-    node?.receive(m2, { ...answer, term: node.term, index: 3 }, group.now);
+    node?.receive(m2, { ...response, term: node.term, index: 3 }, group.now);
     t.is(node?.commitIndex, 3);
 });
 
@@ -318,8 +318,8 @@
             isTransfer: false,
         };
         node.receive("m2.0" as MemberId, message, 10_000);
-        const answer = node.takeReady().messagesAfterPersist[0]?.message;
-        return answer?.type === "voteResponse" && answer.granted;
+        const response = node.takeReady().messagesAfterPersist[0]?.message;
+        return response?.type === "voteResponse" && response.granted;
     };
     t.true(requestVote(createNode(10_000 - DEFAULT_TIMINGS.electionMs)));
     t.false(requestVote(createNode(10_000 - DEFAULT_TIMINGS.electionMs + 1)));
--- a/log/replica.ts
+++ b/log/replica.ts
@@ -377,7 +377,7 @@
      */
     listLearners(): {
         readonly member: MemberId;
-        readonly ackedAtMs: number;
+        readonly ackedSentAtMs: number;
         isCaughtUp: boolean;
     }[] {
         return this.#consensus.listLearners().map((learner) => ({
@@ -394,9 +394,9 @@
      * @returns Whether the change was proposed.
      */
     proposeVoters(voters: readonly MemberId[]): boolean {
-        const isStarted = this.#consensus.proposeVoters(voters) !== undefined;
+        const isProposed = this.#consensus.proposeVoters(voters) !== undefined;
         void this.#runReady();
-        return isStarted;
+        return isProposed;
     }
 
     #proposePending(): void {
