--- a/cell/_cell_state.ts
+++ b/cell/_cell_state.ts
@@ -336,6 +336,7 @@
      *
      * @param id The request's id.
      * @returns The request.
+     * @throws {Error} When the id is unknown.
      */
     getRequest(id: RequestId): RequestRecord {
         const request = this.requests.get(id);
@@ -350,6 +351,7 @@
      *
      * @param id The id of its instance.
      * @returns The worker.
+     * @throws {Error} When the instance is unknown.
      */
     getWorker(id: InstanceId): WorkerState {
         const worker = this.workers.get(id);
@@ -360,7 +362,9 @@
     }
 }
 
-/** The summary of an ended request whose event history was removed. */
+/**
+ * The summary of an ended request whose event history was removed. Times are in ms since the epoch.
+ */
 export interface Tombstone {
     readonly id: RequestId;
     readonly caller: string;
--- a/cell/_lifecycle.ts
+++ b/cell/_lifecycle.ts
@@ -23,7 +23,7 @@
 /** The state chart of a lease. */
 export const leaseChart = loadChart(new URL("../lease/lease_chart.yaml", import.meta.url));
 
-/** The guards of a chart that has none. */
+/** No guards, for charts whose transitions have none. */
 export const NO_GUARDS: ReadonlySet<string> = new Set();
 const RETRYABLE: ReadonlySet<string> = new Set(["retryable"]);
 const AT_MOST_ONCE: ReadonlySet<string> = new Set(["at_most_once"]);
@@ -120,6 +120,12 @@
      * Ends a lease and releases its resources. Once every lease of the request's current attempt
      * has ended (released, declined, or expired after the grace period), the attempt is closed too;
      * only then can the request be queued again, so that no task runs twice at the same time.
+     *
+     * @param lease The lease.
+     * @param event The lease chart's event.
+     * @param outcome The outcome of the lease's task.
+     * @param detail A description for the event history.
+     * @param nowMs The current time in ms.
      */
     closeLease(
         lease: LeaseRecord,
--- a/cell/_placer.ts
+++ b/cell/_placer.ts
@@ -70,6 +70,7 @@
         this.#state.queue.removeNotQueued();
     }
 
+    /** Ends a request past its maximum wait; returns whether it did. */
     #checkDeadline(request: RequestRecord, nowMs: number): boolean {
         // The limit applies to the first start only: a request that was preempted or lost its
         // worker stays in the queue.
@@ -95,6 +96,10 @@
         return true;
     }
 
+    /**
+     * Places a request if its quota and the workers allow it. Returns false only when no workers
+     * fit it, in which case other requests of the same shape are skipped in this tick.
+     */
     #placeRequest(request: RequestRecord, precedence: number, nowMs: number): boolean {
         const { rule } = this.#state.getKindPolicy(request);
         const requirements = this.#createRequirements(request, rule);
--- a/cell/cell.ts
+++ b/cell/cell.ts
@@ -536,10 +536,11 @@
     }
 
     /**
-     * Returns whether a tick could change anything, so that an idle leader replicates no input.
+     * Returns whether a tick is needed to place requests or to expire leases or workers, so that an
+     * idle leader replicates no input. Removal of old requests alone does not require a tick.
      *
      * @param nowMs The current time in ms.
-     * @returns False when a tick would have no effect.
+     * @returns True when a tick is needed.
      */
     hasTickWork(nowMs: number): boolean {
         if (this.#state.isPlacementDue && !this.#state.queue.isEmpty) {
--- a/cell/cell_test.ts
+++ b/cell/cell_test.ts
@@ -24,7 +24,7 @@
 }
 
 test("a non-idempotent request whose lease expires fails with mayHaveRun and is not retried", (t) => {
-    // A retry could bill the client twice.
+    // A retry could bill the customer twice.
     const cell = buildCell({ workers: 2, leaseTtlMs: 100, leaseGraceMs: 50 });
     const started = new Set<LeaseId>();
     const answer = cell.submit(buildSpec({ kind: "batch" }), 0);
--- a/cell/types.ts
+++ b/cell/types.ts
@@ -35,7 +35,10 @@
 
 /** Prefix of the caller in a request that another zone's group handed over. */
 export const HANDED_OVER_CALLER_PREFIX = "@";
-/** Prefix, in such a request's event history, of the id that the first group gave it. */
+/**
+ * Prefix, in such a request's event history, of its hand-over key, which contains its id in the
+ * first group. The audit of the event log matches this text.
+ */
 export const HANDED_OVER_DETAIL_PREFIX = "handed over as ";
 
 /** A request as its caller submits it. */
@@ -91,7 +94,7 @@
     readonly isCancelled: boolean;
 }
 
-/** A request and its state in the cell. */
+/** A request and its state in the cell. Times are in ms since the epoch. */
 export interface RequestRecord {
     readonly id: RequestId;
     readonly seq: number;
@@ -133,7 +136,7 @@
     readonly events: RequestEvent[];
 }
 
-/** A lease that assigns one task to one worker. */
+/** A lease that assigns one task to one worker. Times are in ms since the epoch. */
 export interface LeaseRecord {
     readonly id: LeaseId;
     readonly task: TaskId;
@@ -154,7 +157,7 @@
     stopSent: boolean;
 }
 
-/** The status of a request as its caller sees it. */
+/** The status of a request as its caller sees it. Times are in ms since the epoch. */
 export interface RequestStatus {
     readonly requestId: RequestId;
     readonly caller: string;
@@ -213,6 +216,7 @@
       }
     /** Another zone's group receives or cancels a request. */
     | { readonly type: "handOver"; readonly request: RequestId; readonly handOver: HandOver }
+    /** An event was appended to a request's history. */
     | { readonly type: "fate"; readonly request: RequestId; readonly event: RequestEvent }
     | {
           readonly type: "started";
@@ -232,7 +236,10 @@
 /** A worker's report on a task; `declined` means that it was stopped before it started. */
 export type TaskReport = "started" | "completed" | "failed" | "stopped" | "declined";
 
-/** An input that changes the cell; inputs are logged, and replaying them gives the same state. */
+/**
+ * An input that changes the cell; inputs are logged, and replaying them gives the same state. `at`
+ * is the leader's time in ms since the epoch.
+ */
 export type CellInput =
     | { readonly type: "submit"; readonly at: number; readonly spec: RequestSpec }
     | { readonly type: "cancel"; readonly at: number; readonly request: RequestId }
--- a/entry/api_schema.ts
+++ b/entry/api_schema.ts
@@ -51,7 +51,7 @@
     timeoutMs: z.number().nonnegative().max(60_000).default(0),
 });
 
-/** `instance.drain`. */
+/** `instance.drain`, `instance.undrain`. */
 export const drainSchema = z.object({ instance: z.string().min(1) });
 
 /** `rules.check`: validates rules against the requests of a zone's group. */
--- a/entry/call_router.ts
+++ b/entry/call_router.ts
@@ -112,7 +112,10 @@
         return this.#options.runLocal(call.group, call.method, call.params);
     }
 
-    /** Lists the leader known to the local replica, the one from gossip, then live voters. */
+    /**
+     * Lists the leader that the local replica knows, the one that gossip reports, and then the
+     * voters that are up or of unknown status.
+     */
     #listCandidates(group: GroupLayout): EntryId[] {
         const nowMs = performance.now();
         const { gossip } = this.#options;
@@ -141,7 +144,10 @@
         }
     }
 
-    /** Returns the data of a no-leader error; rethrows the leader's own errors unchanged. */
+    /**
+     * Returns the data of a no-leader error, or `undefined` if the call itself failed. Rethrows an
+     * error that the leader returned.
+     */
     #readNoLeaderData(error: unknown): NoLeaderData | undefined {
         if (error instanceof RemoteMethodError) {
             throw new MethodError(error.rpcError.message, error.rpcError.code, error.rpcError.data);
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -65,7 +65,10 @@
     readonly rules: Rules;
     /** The entry instances and groups of the cell; standalone if omitted. */
     readonly deployment?: Deployment;
-    /** Whether the cell starts for the first time, with empty disks; default: if standalone. */
+    /**
+     * Whether the cell starts for the first time, with empty disks. Defaults to true if standalone
+     * and to false otherwise.
+     */
     readonly bootstrap?: boolean;
     readonly host?: string;
     /** Port to listen on; 0 selects a free port. */
--- a/entry/errors.ts
+++ b/entry/errors.ts
@@ -75,8 +75,8 @@
 }
 
 /**
- * Converts an error from a lost leadership to one that indicates whether the call may have taken
- * effect. Returns other errors unchanged.
+ * Converts an error caused by the loss of leadership to one that indicates whether the call may
+ * have taken effect. Returns other errors unchanged.
  *
  * @param group The group.
  * @param error The error that the call threw.
--- a/entry/status.ts
+++ b/entry/status.ts
@@ -39,9 +39,11 @@
 
 /** Request counts, worker counts and counters of a cell. */
 export interface CellStatus {
+    /** Number of requests per state. */
     readonly requests: Readonly<Record<string, number>>;
     readonly workersAlive: number;
     readonly workers: number;
+    /** Cores that leases hold, as a fraction of all cores of the workers. */
     readonly packingCores: number;
     readonly counters: CellCounters;
 }
--- a/hashing/mod.ts
+++ b/hashing/mod.ts
@@ -13,7 +13,7 @@
 
 /**
  * Computes the 32-bit FNV-1a hash of a text. The high bits are folded into the low ones, which on
- * their own depend mostly on the last character.
+ * their own depend only on the low bits of the characters.
  *
  * @param text The text to hash.
  * @returns An integer from 0 to 2^32 - 1.
--- a/inventory/ids.ts
+++ b/inventory/ids.ts
@@ -26,7 +26,7 @@
 export type ServiceId = Brand<string, "ServiceId">;
 /** An executor: the slots of one service on one instance. */
 export type ExecutorId = Brand<string, "ExecutorId">;
-/** A customer (a team) that owns requests and has a quota. */
+/** A customer (a team) that owns requests and may have a quota. */
 export type CustomerId = Brand<string, "CustomerId">;
 /** A request accepted by the cell. */
 export type RequestId = Brand<string, "RequestId">;
