--- a/cell/_cell_state.ts
+++ b/cell/_cell_state.ts
@@ -204,7 +204,7 @@
     getKindPolicy(request: RequestRecord): KindPolicy {
         const policy = this.findKindPolicy(request.spec.kind);
         if (policy === undefined) {
-            throw new Error(`request ${request.id}: kind ${request.spec.kind} lost its rule`);
+            throw new Error(`request ${request.id}: no rule for kind ${request.spec.kind}`);
         }
         return policy;
     }
--- a/chart/chart.ts
+++ b/chart/chart.ts
@@ -61,7 +61,7 @@
      * @param event The event without a transition.
      */
     constructor(chart: string, state: string, event: string) {
-        super(`${chart}: no edge for event "${event}" from state "${state}"`);
+        super(`${chart}: no transition for event "${event}" from state "${state}"`);
         this.name = "ChartError";
     }
 }
