--- a/cell/_lease_manager.ts
+++ b/cell/_lease_manager.ts
@@ -113,7 +113,10 @@
      */
     listLeasesToStop(held: readonly HeldLease[]): LeaseId[] {
         return held
-            .filter((item) => this.#findLiveLease(item.lease, item.epoch)?.stopSent !== false)
+            .filter(
+                (heldLease) =>
+                    this.#findLiveLease(heldLease.lease, heldLease.epoch)?.stopSent !== false,
+            )
             .map((heldLease) => heldLease.lease);
     }
 
--- a/cell/_placer.ts
+++ b/cell/_placer.ts
@@ -53,7 +53,7 @@
                     this.#state.isPlacementDue = true;
                     return;
                 }
-                if (this.#checkDeadline(request, nowMs)) {
+                if (this.#endIfOverdue(request, nowMs)) {
                     continue;
                 }
                 const { spec } = request;
@@ -71,7 +71,7 @@
     }
 
     /** Ends a request past its maximum wait; returns whether it did. */
-    #checkDeadline(request: RequestRecord, nowMs: number): boolean {
+    #endIfOverdue(request: RequestRecord, nowMs: number): boolean {
         // The limit applies to the first start only: a request that was preempted or lost its
         // worker stays in the queue.
         const { maxWaitMs } = request.spec;
--- a/cell/replication_test.ts
+++ b/cell/replication_test.ts
@@ -141,10 +141,10 @@
         );
         cell.tick(at + 1);
     }
-    const lines = cell
+    const waitingEvents = cell
         .describeRequest(waiting.requestId)
         ?.events.filter((e) => e.event === "waiting");
-    t.is(lines?.length, 1);
+    t.is(waitingEvents?.length, 1);
 });
 
 test("the cells of two zones together allocate no more than a shared quota", (t) => {
--- a/chart/chart.ts
+++ b/chart/chart.ts
@@ -118,7 +118,9 @@
     guards: ReadonlySet<string>,
 ): string {
     const transitions = chart.transitions.get(`${state}\u0000${event}`) ?? [];
-    const transition = transitions.find((e) => e.guard === undefined || guards.has(e.guard));
+    const transition = transitions.find(
+        (candidate) => candidate.guard === undefined || guards.has(candidate.guard),
+    );
     if (transition === undefined) {
         throw new ChartError(chart.name, state, event);
     }
--- a/entry/call_router.ts
+++ b/entry/call_router.ts
@@ -84,7 +84,7 @@
             try {
                 return await this.#sendForward(target, { group: group.id, method, params });
             } catch (error) {
-                const data = this.#readNoLeaderData(error);
+                const data = this.#getNoLeaderData(error);
                 if (data === undefined || data.outcome === "unknown") {
                     outcome = "unknown";
                 }
@@ -148,7 +148,7 @@
      * Returns the data of a no-leader error, or `undefined` if the call itself failed. Rethrows an
      * error that the leader returned.
      */
-    #readNoLeaderData(error: unknown): NoLeaderData | undefined {
+    #getNoLeaderData(error: unknown): NoLeaderData | undefined {
         if (error instanceof RemoteMethodError) {
             throw new MethodError(error.rpcError.message, error.rpcError.code, error.rpcError.data);
         }
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -49,7 +49,12 @@
 } from "./api_schema.ts";
 import { CallRouter, type LocalMember } from "./call_router.ts";
 import { ConfigGroup } from "./config_group.ts";
-import { toRpcError, createNoLeaderError, NOT_FOUND_CODE, SHUTTING_DOWN_CODE } from "./errors.ts";
+import {
+    toMethodError,
+    createNoLeaderError,
+    NOT_FOUND_CODE,
+    SHUTTING_DOWN_CODE,
+} from "./errors.ts";
 import type { AdoptAnswer, AdoptItem, GroupCapacity } from "./hand_over_agent.ts";
 import { PeerApi, type PeerMember } from "./peer_api.ts";
 import { PeerNetwork } from "../group/mod.ts";
@@ -412,7 +417,7 @@
             }
             return await this.#runZoneMethod(this.#getZone(group), method, params);
         } catch (error) {
-            throw toRpcError(group, error);
+            throw toMethodError(group, error);
         }
     }
 
--- a/entry/entry_test.ts
+++ b/entry/entry_test.ts
@@ -37,9 +37,9 @@
     );
     await host.stop();
     await entry.stop();
-    const again = new EntryInstance({ inventory, rules, dataDir, logger: buildQuietLogger() });
-    const second = await again.start();
-    const status = await createRpcClient(second).call<{ state: string }>("request.fate", {
+    const restarted = new EntryInstance({ inventory, rules, dataDir, logger: buildQuietLogger() });
+    const restartedAddress = await restarted.start();
+    const status = await createRpcClient(restartedAddress).call<{ state: string }>("request.fate", {
         requestId: answers[1]?.requestId,
     });
     t.is(status.state, "completed");
@@ -51,12 +51,12 @@
                 e.cell.describeRequest(id)?.state,
                 e.cell.describeRequest(id)?.attempts,
             ]);
-    t.deepEqual(describe(again), describe(entry), "replay must restore every request's state");
+    t.deepEqual(describe(restarted), describe(entry), "replay must restore every request's state");
     t.deepEqual(
-        again.cell.listLeases().map((l) => [l.id, l.epoch, l.state]),
+        restarted.cell.listLeases().map((l) => [l.id, l.epoch, l.state]),
         entry.cell.listLeases().map((l) => [l.id, l.epoch, l.state]),
     );
-    await again.stop();
+    await restarted.stop();
 });
 
 test("an entry instance that shuts down rejects new submits at once", async (t) => {
@@ -91,16 +91,19 @@
     });
     await entry.stop();
     appendFileSync(join(dataDir, "cell", "log.jsonl"), '12345678 {"entry":{"index":99,"te');
-    const again = new EntryInstance({
+    const restarted = new EntryInstance({
         inventory,
         rules: buildRulesFixture(),
         dataDir,
         logger: buildQuietLogger(),
     });
-    const second = await again.start();
-    const status = await createRpcClient(second).call<{ requestId: string }>("request.fate", {
-        requestId: answer.requestId,
-    });
+    const restartedAddress = await restarted.start();
+    const status = await createRpcClient(restartedAddress).call<{ requestId: string }>(
+        "request.fate",
+        {
+            requestId: answer.requestId,
+        },
+    );
     t.is(status.requestId, answer.requestId);
-    await again.stop();
+    await restarted.stop();
 });
--- a/entry/errors.ts
+++ b/entry/errors.ts
@@ -82,7 +82,7 @@
  * @param error The error that the call threw.
  * @returns The error to send to the caller.
  */
-export function toRpcError(group: GroupId, error: unknown): unknown {
+export function toMethodError(group: GroupId, error: unknown): unknown {
     if (error instanceof NotLeaderError) {
         return createNoLeaderError(group, "not_accepted");
     }
--- a/entry/hand_over_agent.ts
+++ b/entry/hand_over_agent.ts
@@ -138,10 +138,11 @@
             const cores = demand.cores * count;
             const target = this.#options
                 .listGroupCapacities(service)
-                .map((r) => ({
-                    group: r.group,
+                .map((capacity) => ({
+                    group: capacity.group,
                     availableCores:
-                        r.freeCores * MAX_CAPACITY_SHARE - (assignedCores.get(r.group) ?? 0),
+                        capacity.freeCores * MAX_CAPACITY_SHARE -
+                        (assignedCores.get(capacity.group) ?? 0),
                 }))
                 .sort((a, b) => b.availableCores - a.availableCores)[0];
             if (target === undefined || target.availableCores < cores) {
--- a/entry/invariants_test.ts
+++ b/entry/invariants_test.ts
@@ -84,14 +84,17 @@
     t.deepEqual(await send(winner), { status: "applied", version: 2 });
     t.is(entry.cell.rules.version, 2);
     await entry.stop();
-    const again = new EntryInstance({
+    const restarted = new EntryInstance({
         inventory,
         rules: buildRulesFixture(),
         dataDir,
         logger: buildQuietLogger(),
     });
-    await again.start();
-    t.is(again.cell.rules.version, 2);
-    t.false(again.cell.rules.kinds.has("batch"), "the accepted change's rules must be in force");
-    await again.stop();
+    await restarted.start();
+    t.is(restarted.cell.rules.version, 2);
+    t.false(
+        restarted.cell.rules.kinds.has("batch"),
+        "the accepted change's rules must be in force",
+    );
+    await restarted.stop();
 });
--- a/entry/worker_api.ts
+++ b/entry/worker_api.ts
@@ -23,7 +23,7 @@
     parseParams,
     reportSchema,
 } from "./api_schema.ts";
-import { toRpcError, createNotLeaderError, NOT_FOUND_CODE } from "./errors.ts";
+import { toMethodError, createNotLeaderError, NOT_FOUND_CODE } from "./errors.ts";
 import type { HeartbeatResponse, ZoneGroup } from "./zone_group.ts";
 
 /** Options of {@link WorkerApi}. */
@@ -129,7 +129,7 @@
         try {
             return await run(zone);
         } catch (error) {
-            throw toRpcError(group.id, error);
+            throw toMethodError(group.id, error);
         }
     }
 }
--- a/reference/reference_scheduler.ts
+++ b/reference/reference_scheduler.ts
@@ -93,21 +93,21 @@
     /**
      * Releases the resources and the slot of one placed task.
      *
-     * @param worker The instance of the task.
+     * @param instance The instance of the task.
      * @param spec The request of the task.
      */
-    releaseTask(worker: InstanceId, spec: RequestSpec): void {
+    releaseTask(instance: InstanceId, spec: RequestSpec): void {
         this.#heldResources.set(
-            worker,
-            addResources(this.#heldResources.get(worker) ?? NO_RESOURCES, {
+            instance,
+            addResources(this.#heldResources.get(instance) ?? NO_RESOURCES, {
                 cores: -spec.demand.cores,
                 memoryMb: -spec.demand.memoryMb,
                 accelerators: -spec.demand.accelerators,
             }),
         );
         this.#usedSlots.set(
-            `${spec.service}@${worker}` as InstanceId,
-            (this.#usedSlots.get(`${spec.service}@${worker}` as InstanceId) ?? 1) - 1,
+            `${spec.service}@${instance}` as InstanceId,
+            (this.#usedSlots.get(`${spec.service}@${instance}` as InstanceId) ?? 1) - 1,
         );
     }
 
--- a/scheduler/placement.ts
+++ b/scheduler/placement.ts
@@ -129,14 +129,14 @@
         case "gang":
             return freeCoresAfter;
         case "spread": {
-            const sameZone = selected.filter(
+            const tasksInZone = selected.filter(
                 (c) => c.instance.zone === worker.instance.zone,
             ).length;
-            const sameRack = selected.filter(
+            const tasksInRack = selected.filter(
                 (c) => c.instance.rack === worker.instance.rack,
             ).length;
-            const sameWorker = selected.filter((c) => c === worker).length;
-            return sameWorker * 1e9 + sameRack * 1e6 + sameZone * 1e3 - freeCoresAfter;
+            const tasksOnWorker = selected.filter((c) => c === worker).length;
+            return tasksOnWorker * 1e9 + tasksInRack * 1e6 + tasksInZone * 1e3 - freeCoresAfter;
         }
     }
 }
