--- a/entry/errors.ts
+++ b/entry/errors.ts
@@ -59,7 +59,7 @@
         outcome === "not_accepted"
             ? "not accepted; send it again later"
             : "it may have been accepted; send it again with the same key to find out";
-    return new MethodError(`${group} has no reachable leader: ${advice}`, NO_LEADER_CODE, data);
+    return new MethodError(`${group} has no leader within reach: ${advice}`, NO_LEADER_CODE, data);
 }
 
 /**
--- a/entry/worker_api.ts
+++ b/entry/worker_api.ts
@@ -88,7 +88,7 @@
         const typed = reports.map((r) => ({ ...r, lease: createId<LeaseId>(r.lease) }));
         const owner = this.#options.layout.findOwnerGroup(typed[0]?.lease ?? "");
         if (owner === undefined) {
-            throw new MethodError("no group granted this lease", NOT_FOUND_CODE);
+            throw new MethodError("no group gave out this lease", NOT_FOUND_CODE);
         }
         await this.#runAsLeader(owner, (zone) => zone.handleReports(typed));
         return { ok: true };
