--- a/telemetry/causes.ts
+++ b/telemetry/causes.ts
@@ -15,7 +15,7 @@
 
 /** Why a request was delayed or failed; the first cause that applies is counted. */
 export type DelayCause =
-    /** A task used up the attempts that its queue allows. */
+    /** A task used up the attempts that its queue allows, or kept crashing workers. */
     | "failed"
     /** A worker was lost, or its lease expired. */
     | "worker lost"
--- a/telemetry/event_loop_monitor.ts
+++ b/telemetry/event_loop_monitor.ts
@@ -6,7 +6,7 @@
  * ```ts
  * import { EventLoopMonitor } from "./event_loop_monitor.ts";
  * const monitor = new EventLoopMonitor({
- *     onBlocked: (heldMs) => log.warn("event loop blocked", { heldMs }),
+ *     onBlocked: (blockedMs) => log.warn(`event loop blocked for ${blockedMs} ms`),
  * });
  * monitor.start();
  * ```
@@ -23,7 +23,7 @@
 
 /** Interval of the timer whose delay is checked; at most half of `MIN_BLOCKED_MS`. */
 const PROBE_INTERVAL_MS = 50;
-/** The least delay that is reported: two heartbeat intervals of a leader. */
+/** The least delay that is reported: twice a leader's shortest heartbeat interval. */
 const MIN_BLOCKED_MS = 100;
 
 /** Monitors the event loop of this process. */
--- a/telemetry/log_sink.ts
+++ b/telemetry/log_sink.ts
@@ -36,7 +36,7 @@
 /** Holds a few seconds of a busy leader's lines. */
 const DEFAULT_MAX_QUEUED_BYTES = 1_000_000;
 const DEFAULT_FAILURE_RESERVE_BYTES = 250_000;
-/** Above the rate that request sampling allows; bounds the output to about 0.4 MB/s. */
+/** Above the rate that request sampling usually allows. */
 const DEFAULT_LINES_PER_SECOND = 2_000;
 /** Capacity of the token bucket, in seconds of the sustained rate. */
 const BURST_SECONDS = 4;
--- a/telemetry/log_sink_test.ts
+++ b/telemetry/log_sink_test.ts
@@ -83,7 +83,7 @@
 });
 
 test("writes a burst in blocks of whole lines within the pipe's atomic write size", async (t) => {
-    // After one long write, a collector's read ends within a line and the rest is lost, uncounted.
+    // Guards against long writes: a collector's read may end within a line and lose the rest of it.
     const blocks: Buffer[] = [];
     const sink = new LogSink({
         writeBytes: (_fd, bytes, done) => {
--- a/telemetry/timeline.ts
+++ b/telemetry/timeline.ts
@@ -28,7 +28,7 @@
 export interface PlacedUnit {
     readonly unit: number;
     readonly attempt: number;
-    /** Time from the step's turn to the placement. */
+    /** Time from when the step became ready to the placement. */
     readonly waitedMs: number;
     readonly workers: readonly string[];
 }
