--- a/telemetry/audit.ts
+++ b/telemetry/audit.ts
@@ -132,7 +132,7 @@
         const capacity = capacities.get(instance);
         if (capacity !== undefined && coresInUse > capacity + 1e-6) {
             violations.push(
-                `overcommit: ${instance} runs ${coresInUse} of ${capacity} cores at ${at}`,
+                `overcommit: ${instance} runs ${coresInUse} of ${capacity} cores at t=${at} ms`,
             );
         }
     }
@@ -147,7 +147,7 @@
             const next = taskRuns[i + 1];
             if (next !== undefined && next.startedAtMs < run.endedAtMs) {
                 violations.push(
-                    `concurrent runs: ${task} starts on ${next.instance} at ${next.startedAtMs}, but runs on ${run.instance} until ${run.endedAtMs}`,
+                    `concurrent runs: ${task} starts on ${next.instance} at t=${next.startedAtMs} ms, but runs on ${run.instance} until t=${run.endedAtMs} ms`,
                 );
             }
         });
--- a/telemetry/explain.ts
+++ b/telemetry/explain.ts
@@ -80,7 +80,7 @@
     for (const event of requestEvents) {
         if (event.message === "job failed") {
             causes.push(
-                `a task reached the failure limit of its queue (${String(event["limit"])})`,
+                `a task failed too often (limit of its queue: ${String(event["limit"])}) or kept crashing workers`,
             );
         } else if (event.message === "start refused") {
             causes.push(`a start was refused: ${String(event["reason"])}`);
