--- a/telemetry/event_loop_monitor.ts
+++ b/telemetry/event_loop_monitor.ts
@@ -17,7 +17,7 @@
 /** Options of {@link EventLoopMonitor}. */
 export interface EventLoopMonitorOptions {
     /** Called with how long the event loop was blocked, in ms. */
-    readonly onBlocked: (heldMs: number) => void;
+    readonly onBlocked: (blockedMs: number) => void;
     readonly getNow?: () => number;
 }
 
--- a/telemetry/log_sink.ts
+++ b/telemetry/log_sink.ts
@@ -153,10 +153,10 @@
         this.#queue = [];
         this.#queuedBytes = 0;
         this.#isWriting = true;
-        this.#sendBlocks(blocks);
+        this.#writeBlocks(blocks);
     }
 
-    #sendBlocks(blocks: readonly Buffer[]): void {
+    #writeBlocks(blocks: readonly Buffer[]): void {
         const [first, ...rest] = blocks;
         if (first === undefined) {
             this.#isWriting = false;
@@ -165,17 +165,17 @@
             }
             return;
         }
-        this.#send(first, () => this.#sendBlocks(rest));
+        this.#writeBlock(first, () => this.#writeBlocks(rest));
     }
 
     /** Writes a block, continuing after partial writes; drops the rest of it after an error. */
-    #send(bytes: Buffer, onSent: () => void): void {
+    #writeBlock(bytes: Buffer, onWritten: () => void): void {
         this.#writeBytes(this.#fd, bytes, (error, written) => {
             if (error === null && written < bytes.length) {
-                this.#send(bytes.subarray(written), onSent);
+                this.#writeBlock(bytes.subarray(written), onWritten);
                 return;
             }
-            onSent();
+            onWritten();
         });
     }
 }
--- a/telemetry/request_sampler.ts
+++ b/telemetry/request_sampler.ts
@@ -22,7 +22,7 @@
     /** Returns the limit in lines per second; called once a second at most. */
     readonly computeLinesPerSecond: () => number;
     /** Called with the new sample rate when it changes. */
-    readonly onChange?: (share: number) => void;
+    readonly onChange?: (sampleRate: number) => void;
     readonly getNow?: () => number;
 }
 
