--- a/bench/bench.ts
+++ b/bench/bench.ts
@@ -23,7 +23,7 @@
  *
  * @param workers Number of workers in the cell.
  * @param requests Number of requests to submit.
- * @returns The measurements by name; each name ends in its unit where it has one.
+ * @returns The measurements by name; a name includes the unit, if any.
  */
 export function runBench(workers: number, requests: number): Record<string, number> {
     const cell = buildCell({ workers, leaseTtlMs: 1e12 });
--- a/bench/run_slopes.sh
+++ b/bench/run_slopes.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The slope runs behind docs/CAPACITY.md: the shipped experiment on 9 entry instances (three zones)
-# at 30, 100, 300 and 1,100 stand-in workers (200 requests/s), at 300 workers with 50 and 400
-# requests/s, all but idle at 30 and 1,100 workers, and on one and three instances for comparison.
+# Measures the figures of docs/CAPACITY.md: runs the mixed_long experiment on 9 entry instances in
+# three zones with different numbers of workers at 200 requests/s, with 300 workers at other rates,
+# and with 30 and 1,100 almost idle workers; and on 1 and 3 entry instances with 30 workers.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 for run in "30 200 1" "30 200 3" "30 200 9" "100 200 9" "300 200 9" "1100 200 9" "300 50 9" "300 400 9" "30 0.2 9" "1100 0.2 9"; do
--- a/bin/poplarhead_worker.ts
+++ b/bin/poplarhead_worker.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env -S node --import tsx
 /**
- * Runs a host of stand-in workers: `poplarhead_worker --entry ... --inventory ... --zone ...`.
+ * Runs a host of simulated workers: `poplarhead_worker --entry ... --inventory ... --rules ...`.
  *
  * @module
  */
--- a/cli/operator_commands.ts
+++ b/cli/operator_commands.ts
@@ -241,7 +241,7 @@
     }
 }
 
-/** `poplarhead logs causes`: tabulates the causes of delays. */
+/** `poplarhead logs causes`: tabulates the causes of delays and failures. */
 export class LogsCausesCommand extends Command {
     static override paths = [["logs", "causes"]];
     static override usage = Command.Usage({
--- a/cli/process_commands.ts
+++ b/cli/process_commands.ts
@@ -1,10 +1,10 @@
 /**
- * Commands that run one process of a cell: an entry instance or a host of stand-in workers.
+ * Commands that run one process of a cell: an entry instance or a host of simulated workers.
  *
  * @example
  * ```sh
  * poplarhead entry --inventory examples/umhlanga/inventory.yaml --rules examples/umhlanga/rules.yaml
- * poplarhead workers --entry 127.0.0.1:7000 --inventory examples/umhlanga/inventory.yaml --zone hall-a
+ * poplarhead workers --entry 127.0.0.1:7000 --inventory examples/umhlanga/inventory.yaml --rules examples/umhlanga/rules.yaml --zone hall-a
  * ```
  *
  * @module
@@ -88,7 +88,7 @@
     }
 }
 
-/** `poplarhead workers`: runs stand-in workers for the instances of one zone or of all. */
+/** `poplarhead workers`: runs simulated workers for the instances of one zone or of all. */
 export class WorkersCommand extends Command {
     static override paths = [["workers"]];
     static override usage = Command.Usage({
--- a/configuration/types.ts
+++ b/configuration/types.ts
@@ -20,11 +20,11 @@
 export type PoolName = Brand<string, "PoolName">;
 
 /**
- * The cost and validity of admission decisions, for a queue whose policy admits only some workers
- * to a step. An external service decides and handles one call at a time per calling instance.
+ * The cost and validity of placement advice, for a queue whose steps may run only on the workers
+ * that an external service admits. The service handles one call at a time per calling instance.
  */
 export interface AdvicePolicy {
-    /** Fixed duration of one call, in ms. */
+    /** Fixed duration of one call to the service, in ms. */
     readonly decideMs: number;
     /** Additional duration per worker named in the call, in ms. */
     readonly perWorkerMs: number;
@@ -44,9 +44,9 @@
     readonly priority: number;
     /** The number of failed attempts at which a task or a gang fails its job. */
     readonly maxAttempts: number;
-    /** Allowed slowdown: the latency target of a job as a multiple of its own work. */
+    /** Multiple of a job's estimated critical path in its latency objective. */
     readonly stretch: number;
-    /** Added to the multiple of the work to give the latency target, in ms. */
+    /** Added to that multiple to give the latency objective, in ms. */
     readonly targetLatencyMs: number;
     /** Timeout of a call, in ms. */
     readonly timeoutMs: number;
--- a/load/cell_runner.ts
+++ b/load/cell_runner.ts
@@ -37,7 +37,7 @@
 
 /** A running local cell. */
 export interface SpawnedCell {
-    /** The list of entry instances for callers. */
+    /** The entry instances, in the format of the `--entry` option. */
     readonly entry: string;
     readonly logFiles: readonly string[];
     /** Process IDs by process name, entry instances first. */
@@ -51,7 +51,7 @@
 /**
  * Starts the entry instance, then a worker host per availability zone.
  *
- * @param options The configuration files, the data directory and the zones.
+ * @param options The settings files, the data directory and the zones.
  * @returns The running cell.
  * @throws {Error} When a process exits early or does not report its address in time.
  */
--- a/load/cluster_runner.ts
+++ b/load/cluster_runner.ts
@@ -24,7 +24,7 @@
 import { mergeTimeline, type TimelineEvent } from "../telemetry/mod.ts";
 import { spawnCli, stopChildren, waitListening } from "./cell_runner.ts";
 
-/** The deployment entry of one entry instance. */
+/** An entry instance as listed in the deployment files. */
 export interface ClusterMember {
     readonly id: string;
     readonly zone: string;
@@ -42,6 +42,7 @@
     readonly workerZones: readonly string[];
     /** IDs of instances whose workers fail every task. */
     readonly failing?: readonly string[];
+    /** The number of log entries between two snapshots. */
     readonly snapshotEvery?: number;
     /** The home zones of callers. */
     readonly callers?: readonly { readonly caller: string; readonly zone: string }[];
@@ -72,7 +73,7 @@
      * Starts the relays and the entry instances, waits until every group has a leader, and starts
      * the worker hosts.
      *
-     * @param options The configuration files, the members and the zones.
+     * @param options The settings files, the members and the zones.
      * @returns The running cluster.
      */
     static async start(options: ClusterOptions): Promise<Cluster> {
--- a/load/run_load.ts
+++ b/load/run_load.ts
@@ -57,10 +57,13 @@
 export interface LoadReport {
     readonly experiment: Experiment;
     readonly requests: number;
+    /** The number of requests by their last known state. */
     readonly states: Record<string, number>;
     readonly waitMsByClass: Record<string, WaitSummary>;
     readonly placementsPerSecond: number;
+    /** The mean fraction of cores under lease, over the samples with queued requests. */
     readonly packingWhileQueued: number;
+    /** The mean fraction of cores under lease, over all samples. */
     readonly packingMean: number;
     readonly processes: readonly ProcessUsage[];
     /** The leader of each group at the end of the run. */
@@ -83,6 +86,7 @@
 
 /** The state of the cell, aggregated over the leaders of its groups. */
 interface CellStats {
+    /** The fraction of the workers' cores that are under lease. */
     readonly packingCores: number;
     readonly queued: number;
     readonly placements: number;
@@ -273,7 +277,7 @@
     };
 }
 
-/** Creates one caller per entry instance, each starting with another one to spread the load. */
+/** Creates one caller per entry instance; each calls a different one first, to spread the load. */
 function createCallers(entry: string, completionTimeoutMs: number): Caller[] {
     const entries = entry.split(",");
     return entries.map((_, i) => {
--- a/rpc/http_rpc.ts
+++ b/rpc/http_rpc.ts
@@ -203,7 +203,7 @@
     return response === null ? "" : JSON.stringify(response);
 }
 
-/** State of one call that the HTTP transport shares with the caller. */
+/** State of one call, shared between {@link RpcClient.call} and the HTTP transport. */
 interface CallState {
     readonly timeoutMs: number;
     /** The transport failure that ended the call, if any. */
@@ -227,8 +227,8 @@
 }
 
 /**
- * The longest time to open a connection, in ms; after it the server counts as unreachable. It is
- * well above the round trip to another region.
+ * The time after which a connection that has not opened counts as failed, in ms. It is well above
+ * the round trip to another region.
  */
 const CONNECT_TIMEOUT_MS = 300;
 /** Margin of the client library's timeout over the socket's timeout, in ms. */
@@ -291,7 +291,7 @@
                     req.destroy(error);
                     closeIdleSockets(sharedAgent, host, port);
                 };
-                // Reads data that has already arrived before the call times out; see
+                // Runs after the event loop has read the data that arrived by then; see
                 // `startTimeout`.
                 req.on("timeout", () => setImmediate(handleTimeout));
                 req.on("error", (error: NodeJS.ErrnoException) => {
--- a/settings/check_source.ts
+++ b/settings/check_source.ts
@@ -52,10 +52,10 @@
 }
 
 /**
- * Reports every item whose id has appeared earlier in the list.
+ * Reports every item whose key has appeared earlier in the list.
  *
  * @param items The items to check.
- * @param getKey Returns the id of an item.
+ * @param getKey Returns the key of an item, such as its id.
  * @param basePath The path of the list in the data.
  * @param report Called with each duplicate.
  */
--- a/settings/inventory_file.ts
+++ b/settings/inventory_file.ts
@@ -1,5 +1,6 @@
 /**
- * The inventory file, which operators export from their asset register.
+ * The inventory file: the zones, services, racks, instances and executors of a cell. Operators
+ * export it from their asset register.
  *
  * @example
  * ```ts
--- a/standin/caller.ts
+++ b/standin/caller.ts
@@ -6,7 +6,7 @@
  * ```ts
  * import { Caller } from "./caller.ts";
  * const caller = new Caller({ entry: "127.0.0.1:7000" });
- * const answers = await caller.runAll(specs);
+ * const statuses = await caller.runAll(specs);
  * ```
  *
  * @module
@@ -48,7 +48,7 @@
      * Submits one request, retrying with the same idempotency key until a response arrives.
      *
      * @param spec The request.
-     * @returns The cell's answer.
+     * @returns The status of the request.
      * @throws {RpcError} When the cell rejects the call (invalid parameters, reused key) or does
      *   not respond in time.
      */
@@ -64,7 +64,7 @@
      * Cancels a request, retrying until a response arrives.
      *
      * @param requestId The ID of the request.
-     * @returns The cell's answer.
+     * @returns The status of the request.
      */
     cancel(requestId: string): Promise<RequestStatus> {
         return this.#client.sendUntil(
@@ -88,9 +88,9 @@
      * Waits until a request is final, with repeated long polls.
      *
      * @param requestId The ID of the request.
-     * @param deadlineMs The time (ms since the epoch) after which the last answer is returned,
+     * @param deadlineMs The time (ms since the epoch) after which the last status is returned,
      *   final or not.
-     * @returns The last answer.
+     * @returns The last status.
      * @throws {RpcError} When no entry instance responds by the deadline.
      */
     async waitFinal(requestId: string, deadlineMs: number): Promise<RequestStatus> {
@@ -107,7 +107,7 @@
      * Submits all requests, then waits until all are final.
      *
      * @param specs The requests.
-     * @returns The last answer to each request, in the order of `specs`.
+     * @returns The last status of each request, in the order of `specs`.
      */
     async runAll(specs: readonly RequestSpec[]): Promise<RequestStatus[]> {
         const accepted = await Promise.all(specs.map((spec) => this.submit(spec)));
--- a/standin/entry_client.ts
+++ b/standin/entry_client.ts
@@ -148,7 +148,10 @@
                 : (usedIndex + 1) % this.#entries.length;
     }
 
-    /** Waits before a retry: for the advised time only once every instance has been tried. */
+    /**
+     * Waits before a retry: briefly if the error names the leader or some instances have not been
+     * tried yet, otherwise for the delay given in the error.
+     */
     async #waitRetry(attempt: number, error: RpcError): Promise<void> {
         const isLeaderKnown = (error.data as NoLeaderData | undefined)?.leader !== undefined;
         if (isLeaderKnown || attempt % this.#entries.length !== 0) {
--- a/standin/task_worker.ts
+++ b/standin/task_worker.ts
@@ -40,6 +40,7 @@
 export interface TaskWorkerOptions {
     readonly id: WorkerId;
     readonly capacity: Resources;
+    /** Returns the current time, in ms. */
     readonly getNow: () => number;
     /** Computes how long a task runs, in ms. */
     readonly computeTaskMs: (task: string) => number;
@@ -121,7 +122,12 @@
         }
     }
 
-    /** Starts a task, unless the order is fenced off, expired or superseded. */
+    /**
+     * Starts a task, unless the order has an old fencing token, has expired or is superseded.
+     *
+     * @param order The order.
+     * @returns The answer, with the reason of a refusal.
+     */
     start(order: StartOrder): OrderAnswer {
         this.advance();
         const refusal = this.#checkOrder(order.worker, order.fence);
@@ -156,7 +162,12 @@
         return { type: "accepted", clockMs: this.clockMs };
     }
 
-    /** Stops an attempt, or prevents its start when the stop arrives before the start. */
+    /**
+     * Stops an attempt, or prevents its start when the stop arrives before the start.
+     *
+     * @param order The order.
+     * @returns The answer, with the reason of a refusal.
+     */
     stop(order: StopOrder): OrderAnswer {
         this.advance();
         const refusal = this.#checkOrder(order.worker, order.fence);
@@ -177,6 +188,9 @@
     /**
      * Answers a poll at once with the running attempts and the unacknowledged ends, and extends
      * the lease.
+     *
+     * @param order The order; its cursor acknowledges the ends up to that number.
+     * @returns The state of the worker, or a refusal.
      */
     poll(order: PollOrder): PollAnswer {
         this.advance();
--- a/standin/worker_agent.ts
+++ b/standin/worker_agent.ts
@@ -7,7 +7,7 @@
  * ```ts
  * import { WorkerAgent } from "./worker_agent.ts";
  * const agent = new WorkerAgent({ instance, capacity });
- * const reply = agent.acceptLease(lease, Date.now());
+ * const reply = agent.acceptLease(offer, Date.now());
  * const reports = agent.tick(Date.now());
  * ```
  *
@@ -212,7 +212,7 @@
 
     /**
      * Ends tasks whose run time is over and stops those whose lease has expired, so that the
-     * cell can run them on another worker without two copies at once.
+     * cell can run them on another worker without running them twice at once.
      *
      * @param now The current time, in ms.
      * @returns The reports added since the last call.
--- a/tools/seeded_random.ts
+++ b/tools/seeded_random.ts
@@ -5,7 +5,7 @@
  * ```ts
  * import { createRandom } from "./seeded_random.ts";
  * const random = createRandom(7);
- * random(); // the same number each time
+ * random(); // the first number of the sequence of seed 7
  * ```
  *
  * @module
