--- a/cli/demo_command.ts
+++ b/cli/demo_command.ts
@@ -31,7 +31,7 @@
     static override paths = [["demo"]];
     static override usage = Command.Usage({
         description:
-            "Run both example deployments on a local cell with stand-in workers and print a summary.",
+            "Run both example deployments on a local cell with simulated workers and print a summary.",
     });
     requests = Option.String("--requests", "200");
     dir = Option.String("--dir");
@@ -67,8 +67,8 @@
         }
         this.context.stdout.write(
             allFinal
-                ? "every request reached an end state\n"
-                : "some requests did not reach an end state\n",
+                ? "every request reached a final state\n"
+                : "some requests did not reach a final state\n",
         );
         return allFinal ? 0 : 1;
     }
--- a/cli/load_command.ts
+++ b/cli/load_command.ts
@@ -23,7 +23,7 @@
     static override paths = [["load"]];
     static override usage = Command.Usage({
         description:
-            "Run a load experiment on a local cell; report waiting time, packing and control cost.",
+            "Run a load experiment on a local cell; report waiting time, packing and resource usage.",
     });
     experiment = Option.String("--experiment", { required: true });
     workers = Option.String("--workers", { description: "override the file's worker count" });
--- a/cli/process_commands.ts
+++ b/cli/process_commands.ts
@@ -34,7 +34,7 @@
         description: "the deployment file; without it, the cell consists of this instance alone",
     });
     bootstrap = Option.Boolean("--bootstrap", false, {
-        description: "initialize a new cell; all of its disks are empty",
+        description: "initialize a new cell; the disks of its entry instances must be empty",
     });
     snapshotIntervalEntries = Option.String("--snapshot-every", {
         description: "log entries between two snapshots",
@@ -92,7 +92,7 @@
 export class WorkersCommand extends Command {
     static override paths = [["workers"]];
     static override usage = Command.Usage({
-        description: "Run stand-in workers for the inventory's instances, many in one process.",
+        description: "Run simulated workers for the inventory's instances, many in one process.",
     });
     entry = Option.String("--entry", {
         required: true,
--- a/settings/check_source.ts
+++ b/settings/check_source.ts
@@ -70,7 +70,7 @@
         const key = getKey(item);
         const first = seen.get(key);
         if (first !== undefined) {
-            report([...basePath, index], `duplicate id "${key}" (first at index ${first})`);
+            report([...basePath, index], `duplicate "${key}" (first at index ${first})`);
         } else {
             seen.set(key, index);
         }
--- a/standin/worker_host.ts
+++ b/standin/worker_host.ts
@@ -138,7 +138,11 @@
         const replies = params.leases.map((lease): LeaseReply => {
             const agent = this.agents.get(lease.instance);
             if (agent === undefined) {
-                return { lease: lease.lease, status: "unknown", reason: "no such worker here" };
+                return {
+                    lease: lease.lease,
+                    status: "unknown",
+                    reason: "the instance has no worker on this host",
+                };
             }
             const startedBefore = agent.startedTasks.length;
             const reply = agent.acceptLease(lease, now);
