--- a/bench/cluster_bench.ts
+++ b/bench/cluster_bench.ts
@@ -146,7 +146,7 @@
     zones,
     entriesPerZone: Math.ceil(instances / zones.length),
     workers: 6,
-    snapshotEvery: 200,
+    snapshotIntervalEntries: 200,
     callers: [{ caller: "console-1", zone: "z1" }],
 });
 try {
--- a/entry/cluster_test.ts
+++ b/entry/cluster_test.ts
@@ -128,7 +128,7 @@
         const cluster = await buildCluster({
             zones: [ZONE],
             entriesPerZone: 3,
-            snapshotEvery: 100,
+            snapshotIntervalEntries: 100,
         });
         t.teardown(() => cluster.stop());
         const leader = (await cluster.findLeader(ZONE)) as string;
--- a/load/cluster_runner.ts
+++ b/load/cluster_runner.ts
@@ -43,7 +43,7 @@
     /** IDs of instances whose workers fail every task. */
     readonly failing?: readonly string[];
     /** The number of log entries between two snapshots. */
-    readonly snapshotEvery?: number;
+    readonly snapshotIntervalEntries?: number;
     /** The home zones of callers. */
     readonly callers?: readonly { readonly caller: string; readonly zone: string }[];
     readonly groups?: readonly { readonly id: string; readonly zones: readonly string[] }[];
@@ -98,7 +98,7 @@
      * @param bootstrap Whether the cell starts for the first time.
      */
     async startEntry(id: string, bootstrap = false): Promise<void> {
-        const { dir, inventoryFile, rulesFile, snapshotEvery } = this.#options;
+        const { dir, inventoryFile, rulesFile, snapshotIntervalEntries } = this.#options;
         const log = join(dir, `${id}.log`);
         this.#logFiles.add(log);
         const child = spawnCli([
@@ -107,7 +107,9 @@
             ...["--deployment", join(dir, `deployment-${id}.yaml`), "--id", id],
             ...["--data-dir", join(dir, id), "--log", log],
             ...(bootstrap ? ["--bootstrap"] : []),
-            ...(snapshotEvery === undefined ? [] : ["--snapshot-every", `${snapshotEvery}`]),
+            ...(snapshotIntervalEntries === undefined
+                ? []
+                : ["--snapshot-every", `${snapshotIntervalEntries}`]),
         ]);
         this.#children.set(id, child);
         const address = await waitListening(child);
--- a/load/run_load.ts
+++ b/load/run_load.ts
@@ -121,14 +121,14 @@
     const failing = inventory.racks
         .flatMap((r) => r.instances.map((i) => i.id))
         .slice(0, experiment.failingWorkers);
-    const classes = loadClassByKind(rulesFile);
+    const classByKind = loadClassByKind(rulesFile);
     const files = { inventoryFile, rulesFile, dir: options.dir, failing };
     const cell =
         experiment.instances === 1
             ? await spawnCell({ ...files, zones: deployment.zones })
             : await startCluster(experiment, files, deployment.zones);
     try {
-        return await runWorkload(experiment, cell, classes, options);
+        return await runWorkload(experiment, cell, classByKind, options);
     } finally {
         await cell.stop();
     }
@@ -177,7 +177,7 @@
 async function runWorkload(
     experiment: Experiment,
     cell: SpawnedCell,
-    classes: ReadonlyMap<string, string>,
+    classByKind: ReadonlyMap<string, string>,
     options: RunOptions,
 ): Promise<LoadReport> {
     const total = Math.round((experiment.ratePerSecond * experiment.durationMs) / 1_000);
@@ -223,11 +223,11 @@
                 const shouldCancel = randomState / 2 ** 31 < experiment.cancelShare;
                 const caller = callers[submissions.length % callers.length] as Caller;
                 submissions.push(
-                    caller.submit(spec).then(async (answer) => {
+                    caller.submit(spec).then(async (status) => {
                         if (shouldCancel) {
-                            await caller.cancel(answer.requestId).catch(() => undefined);
+                            await caller.cancel(status.requestId).catch(() => undefined);
                         }
-                        return answer;
+                        return status;
                     }),
                 );
             }
@@ -238,7 +238,7 @@
         }, SEND_INTERVAL_MS);
     });
     const deadlineMs = Date.now() + experiment.drainMs;
-    const answers = await Promise.all(
+    const statuses = await Promise.all(
         submissions.map(async (a, i) =>
             (callers[i % callers.length] as Caller).waitFinal((await a).requestId, deadlineMs),
         ),
@@ -250,9 +250,9 @@
     const seconds = elapsedMs / 1_000;
     return {
         experiment,
-        requests: answers.length,
-        states: countStates(answers),
-        waitMsByClass: summarizeWaits(answers, classes),
+        requests: statuses.length,
+        states: countStates(statuses),
+        waitMsByClass: summarizeWaits(statuses, classByKind),
         placementsPerSecond: Math.round((after.placements - before.placements) / seconds),
         packingWhileQueued: computeMean(packingSamplesWhileQueued),
         packingMean: computeMean(packingSamples),
@@ -293,24 +293,24 @@
     return new Map(rules.kinds.map((k) => [k.name, k.class]));
 }
 
-function countStates(answers: readonly RequestStatus[]): Record<string, number> {
+function countStates(statuses: readonly RequestStatus[]): Record<string, number> {
     const states: Record<string, number> = {};
-    for (const answer of answers) {
-        states[answer.state] = (states[answer.state] ?? 0) + 1;
+    for (const status of statuses) {
+        states[status.state] = (states[status.state] ?? 0) + 1;
     }
     return states;
 }
 
 function summarizeWaits(
-    answers: readonly RequestStatus[],
-    classes: ReadonlyMap<string, string>,
+    statuses: readonly RequestStatus[],
+    classByKind: ReadonlyMap<string, string>,
 ): Record<string, WaitSummary> {
     const histograms = new Map<string, hdr.Histogram>();
-    for (const answer of answers) {
-        if (answer.startedAt === undefined) {
+    for (const status of statuses) {
+        if (status.startedAt === undefined) {
             continue;
         }
-        const name = classes.get(answer.kind) ?? answer.kind;
+        const name = classByKind.get(status.kind) ?? status.kind;
         const histogram =
             histograms.get(name) ??
             hdr.build({
@@ -318,7 +318,7 @@
                 highestTrackableValue: 3_600_000,
                 numberOfSignificantValueDigits: 3,
             });
-        histogram.recordValue(Math.max(1, answer.startedAt - answer.acceptedAt));
+        histogram.recordValue(Math.max(1, status.startedAt - status.acceptedAt));
         histograms.set(name, histogram);
     }
     return Object.fromEntries(
--- a/standin/caller.ts
+++ b/standin/caller.ts
@@ -96,9 +96,9 @@
     async waitFinal(requestId: string, deadlineMs: number): Promise<RequestStatus> {
         for (;;) {
             const timeoutMs = Math.max(0, Math.min(MAX_WAIT_CALL_MS, deadlineMs - Date.now()));
-            const answer = await this.#waitOnce(requestId, timeoutMs, deadlineMs);
-            if (answer.final || Date.now() >= deadlineMs) {
-                return answer;
+            const status = await this.#waitOnce(requestId, timeoutMs, deadlineMs);
+            if (status.final || Date.now() >= deadlineMs) {
+                return status;
             }
         }
     }
--- a/standin/worker_agent.ts
+++ b/standin/worker_agent.ts
@@ -77,7 +77,8 @@
     #heldResources: Resources = NO_RESOURCES;
     #reports: AgentReport[] = [];
     /** All tasks started so far, for tests and invariant checks. */
-    readonly startedTasks: { lease: LeaseId; task: TaskId; epoch: number; at: number }[] = [];
+    readonly startedTasks: { lease: LeaseId; task: TaskId; epoch: number; startedAtMs: number }[] =
+        [];
 
     /**
      * @param options The instance, its capacity and the simulated behaviour.
@@ -125,7 +126,7 @@
             lease: offer.lease,
             task: offer.task,
             epoch: offer.epoch,
-            at: now,
+            startedAtMs: now,
         });
         this.#addReport(offer.lease, offer.epoch, "started", "");
         return reply;
--- a/standin/worker_agent_test.ts
+++ b/standin/worker_agent_test.ts
@@ -3,7 +3,7 @@
 import { createId, type TaskId } from "../inventory/mod.ts";
 import { WorkerAgent } from "./worker_agent.ts";
 
-function buildLease(epoch: number, overrides: Partial<GrantMessage> = {}): GrantMessage {
+function buildOffer(epoch: number, overrides: Partial<GrantMessage> = {}): GrantMessage {
     return {
         lease: createId(`l${epoch}`),
         task: createId("r1.0"),
@@ -30,11 +30,11 @@
 test("a worker refuses leases with a stale epoch or too large a demand, and stops tasks whose lease expires", (t) => {
     // Guards against running one task twice, by a delayed offer or after its lease expired.
     const agent = buildAgent();
-    t.is(agent.acceptLease(buildLease(5), 0).status, "accepted");
-    t.is(agent.acceptLease(buildLease(3), 1).status, "declined");
+    t.is(agent.acceptLease(buildOffer(5), 0).status, "accepted");
+    t.is(agent.acceptLease(buildOffer(3), 1).status, "declined");
     t.is(
         agent.acceptLease(
-            buildLease(6, {
+            buildOffer(6, {
                 task: createId<TaskId>("r2.0"),
                 demand: { cores: 5, memoryMb: 1, accelerators: 0 },
             }),
@@ -55,7 +55,7 @@
 test("a worker refuses an offer based on a heartbeat older than the time to live of the lease", (t) => {
     // Guards against an offer of a paused leader whose successor leased the task elsewhere.
     const agent = buildAgent();
-    const late = agent.acceptLease(buildLease(5, { beatAt: 0 }), 101);
+    const late = agent.acceptLease(buildOffer(5, { beatAt: 0 }), 101);
     t.is(late.status, "declined");
     t.is(agent.startedTasks.length, 0);
 });
@@ -63,7 +63,7 @@
 test("a lease runs from the heartbeat its offer is based on, and a late acknowledgement does not renew it", (t) => {
     // Guards against a worker that runs a task past the time when the cell expires its lease.
     const agent = buildAgent();
-    agent.acceptLease(buildLease(5, { beatAt: 0 }), 90);
+    agent.acceptLease(buildOffer(5, { beatAt: 0 }), 90);
     agent.renewLeases(150, [createId("l5")]);
     t.deepEqual(
         agent.tick(110).map((r) => r.report),
@@ -74,7 +74,7 @@
 test("an offer for another incarnation of the worker is answered 'unknown', not 'declined'", (t) => {
     // "Declined" would mean not started, but the earlier process may have run the task.
     const agent = buildAgent("second");
-    const reply = agent.acceptLease(buildLease(5, { incarnation: "first" }), 1);
+    const reply = agent.acceptLease(buildOffer(5, { incarnation: "first" }), 1);
     t.is(reply.status, "unknown");
     t.is(agent.startedTasks.length, 0);
 });
@@ -83,7 +83,7 @@
     // Guards against starting a cancelled task whose stop was delivered first.
     const agent = buildAgent();
     agent.stopLease({ lease: createId("l5"), epoch: 5, incarnation: "", mode: "stop" }, 1);
-    t.is(agent.acceptLease(buildLease(5), 2).status, "declined");
+    t.is(agent.acceptLease(buildOffer(5), 2).status, "declined");
     t.deepEqual(
         agent.tick(3).map((r) => r.report),
         ["declined"],
--- a/standin/worker_host.ts
+++ b/standin/worker_host.ts
@@ -135,33 +135,33 @@
 
     #handleGrant(params: { leases: GrantMessage[] }): { replies: LeaseReply[] } {
         const now = getMonotonicNowMs();
-        const replies = params.leases.map((lease): LeaseReply => {
-            const agent = this.agents.get(lease.instance);
+        const replies = params.leases.map((offer): LeaseReply => {
+            const agent = this.agents.get(offer.instance);
             if (agent === undefined) {
                 return {
-                    lease: lease.lease,
+                    lease: offer.lease,
                     status: "unknown",
                     reason: "the instance has no worker on this host",
                 };
             }
             const startedBefore = agent.startedTasks.length;
-            const reply = agent.acceptLease(lease, now);
+            const reply = agent.acceptLease(offer, now);
             if (agent.startedTasks.length > startedBefore || reply.status !== "accepted") {
-                this.#recordReply(lease, reply);
+                this.#recordReply(offer, reply);
             }
             return reply;
         });
         return { replies };
     }
 
-    #recordReply(lease: GrantMessage, reply: LeaseReply): void {
+    #recordReply(offer: GrantMessage, reply: LeaseReply): void {
         this.#log.info(reply.status === "accepted" ? "task started" : "lease declined", {
-            request: lease.request,
-            instance: lease.instance,
-            lease: lease.lease,
-            epoch: lease.epoch,
-            task: lease.task,
-            cores: lease.demand.cores,
+            request: offer.request,
+            instance: offer.instance,
+            lease: offer.lease,
+            epoch: offer.epoch,
+            task: offer.task,
+            cores: offer.demand.cores,
             reason: reply.reason,
         });
     }
--- a/tools/test_results_test.ts
+++ b/tools/test_results_test.ts
@@ -9,8 +9,8 @@
 
 test("a run succeeds with listed failures, but not with unlisted ones, without tests or if the runner fails", (t) => {
     const known = parseKnownFailures("# note\n\ntwo | npx ava x, seed 3: seen twice | issue 9\n");
-    const red = { title: "two", isPassed: false };
-    t.true(checkResults([red, { title: "one", isPassed: true }], known, 1).isSuccessful);
+    const failure = { title: "two", isPassed: false };
+    t.true(checkResults([failure, { title: "one", isPassed: true }], known, 1).isSuccessful);
     t.false(checkResults([{ title: "one", isPassed: false }], known, 1).isSuccessful);
     t.false(checkResults([], [], 0).isSuccessful);
     t.false(checkResults([{ title: "one", isPassed: true }], [], 1).isSuccessful);
