--- a/standin/worker_agent.ts
+++ b/standin/worker_agent.ts
@@ -138,7 +138,7 @@
             return {
                 lease,
                 status: "unknown",
-                reason: "the offer is for another incarnation of the worker",
+                reason: "meant for an earlier process",
             };
         }
         const highest = this.#highestEpoch.get(offer.task) ?? 0;
@@ -149,11 +149,11 @@
         // The sender may have been replaced since that heartbeat, and the new leader may have
         // leased the task to another worker.
         if (now - offer.beatAt > offer.ttlMs) {
-            const reason = `stale offer: based on a heartbeat sent ${now - offer.beatAt} ms ago`;
+            const reason = `stale offer: by a heartbeat of ${now - offer.beatAt} ms ago`;
             return { lease, status: "declined", reason };
         }
         if (!isFitting(addResources(this.#heldResources, offer.demand), this.#capacity)) {
-            return { lease, status: "declined", reason: "insufficient capacity on the instance" };
+            return { lease, status: "declined", reason: "the instance has no room for it" };
         }
         return undefined;
     }
@@ -226,9 +226,9 @@
         for (const [lease, task] of this.#running) {
             const { runMs, fail } = task.offer.work;
             if (now - task.renewedAtMs > task.offer.ttlMs) {
-                this.#endTask(lease, "stopped", "the lease expired; stopped by the worker");
+                this.#endTask(lease, "stopped", "lease expired unrenewed; stopped by the worker");
             } else if (this.#failAllTasks && now - task.startedAtMs >= Math.min(runMs || 50, 50)) {
-                this.#endTask(lease, "failed", `worker ${this.instance} fails every task`);
+                this.#endTask(lease, "failed", `worker ${this.instance} fails everything`);
             } else if (runMs > 0 && now - task.startedAtMs >= runMs) {
                 this.#endTask(lease, fail ? "failed" : "completed", fail ? "the task failed" : "");
             }
--- a/standin/worker_host.ts
+++ b/standin/worker_host.ts
@@ -141,7 +141,7 @@
                 return {
                     lease: offer.lease,
                     status: "unknown",
-                    reason: "the instance has no worker on this host",
+                    reason: "no such worker here",
                 };
             }
             const startedBefore = agent.startedTasks.length;
