--- a/bench/heartbeat_slope.ts
+++ b/bench/heartbeat_slope.ts
@@ -1,6 +1,7 @@
 /**
- * Measures entry CPU time and payload bytes per worker heartbeat, at 1,100 workers with 8 leases
- * each, for `docs/CAPACITY.md`. Writes the results to `bench/results/heartbeat-slope.json`.
+ * Measures the CPU time and the payload bytes of a worker heartbeat on a `Cell` in this process,
+ * without a network, at 1,100 workers with 8 leases each, for `docs/CAPACITY.md`. Writes the
+ * results to `bench/results/heartbeat-slope.json`.
  *
  * @example
  * ```sh
--- a/bench/idle_probe.ts
+++ b/bench/idle_probe.ts
@@ -1,5 +1,6 @@
 /**
- * Measures the CPU share of each process of an idle local cell over 10 s.
+ * Measures the CPU share of each process of an idle local cell over 10 s. The argument is the
+ * number of workers.
  *
  * @example
  * ```sh
--- a/cell/types.ts
+++ b/cell/types.ts
@@ -23,7 +23,7 @@
 import type { RulesChange } from "../rules/mod.ts";
 import type { RulesFile } from "../rules/rules_file.ts";
 
-/** How the stand-in worker simulates a task; opaque to the scheduler. */
+/** How a simulated worker runs a task; opaque to the scheduler. */
 export interface WorkloadSpec {
     /** Actual run time in ms; 0 runs until stopped (a long-running service). */
     readonly runMs: number;
--- a/chart/chart.ts
+++ b/chart/chart.ts
@@ -5,7 +5,7 @@
  * @example
  * ```ts
  * import { loadChart, getNextState } from "./chart.ts";
- * const chart = loadChart(new URL("./request_chart.yaml", import.meta.url));
+ * const chart = loadChart(new URL("../request/request_chart.yaml", import.meta.url));
  * const next = getNextState(chart, "queued", "grant", new Set());
  * ```
  *
--- a/control/_fixtures.ts
+++ b/control/_fixtures.ts
@@ -203,7 +203,12 @@
     readonly onLogLines: (lines: string) => void;
 }
 
-/** Builds a leadership without a group, with a worker that answers every order at once. */
+/**
+ * Builds a leadership without a group, with a worker that answers every order at once.
+ *
+ * @param options Lease and callbacks; see {@link LeadershipFixtureOptions}.
+ * @returns The leadership, and the sink of its log.
+ */
 export function buildLeadership(options: LeadershipFixtureOptions): {
     readonly leadership: Leadership;
     readonly sink: LogSink;
@@ -260,7 +265,12 @@
     };
 }
 
-/** Builds a configuration with one urgent queue that uses advice. */
+/**
+ * Builds a configuration with one urgent queue that uses advice.
+ *
+ * @param version The version.
+ * @returns The configuration.
+ */
 export function buildConfiguration(version: number): Configuration {
     return {
         version,
@@ -274,7 +284,8 @@
 /**
  * Waits until a condition holds.
  *
- * @throws {Error} After 15 s.
+ * @param isMet Returns whether it holds.
+ * @throws {Error} If it does not hold within 15 s.
  */
 export async function waitUntil(isMet: () => boolean | Promise<boolean>): Promise<void> {
     const deadlineMs = performance.now() + 15_000;
--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -180,6 +180,7 @@
      *
      * @param call The request.
      * @returns The answer, after the change behind it is committed.
+     * @throws {Error} If leadership ends before the change is committed.
      */
     async handleCaller(call: CallerCall): Promise<CallerAnswer> {
         const { configuration } = this.#options.committedState;
@@ -220,6 +221,7 @@
      *
      * @param call The heartbeat.
      * @returns Resolves after its changes are committed.
+     * @throws {Error} If leadership ends before the change is committed.
      */
     async handleHeartbeat(call: HeartbeatCall): Promise<void> {
         const { record } = call;
@@ -250,6 +252,7 @@
      *
      * @param worker The worker.
      * @returns Resolves after the departure is committed.
+     * @throws {Error} If leadership ends before the change is committed.
      */
     async handleLeave(worker: WorkerId): Promise<void> {
         this.#dispatcher.handleLeave(worker);
@@ -261,7 +264,8 @@
      * Applies an operator's configuration.
      *
      * @param configuration The configuration, already validated.
-     * @returns Resolves after this version or a newer one is committed.
+     * @returns The acknowledgement, after this version or a newer one is committed.
+     * @throws {Error} If leadership ends before the change is committed.
      */
     async handleConfigure(configuration: Configuration): Promise<ConfigureAnswer> {
         const { log, metrics } = this.#options;
@@ -283,6 +287,7 @@
      * leader could return an older one.
      *
      * @returns The operator's document, or `undefined` if there is no configuration yet.
+     * @throws {Error} If leadership ends before a quorum confirms it.
      */
     async readConfiguration(): Promise<unknown> {
         await this.#propose([]);
--- a/dispatch/_context.ts
+++ b/dispatch/_context.ts
@@ -112,7 +112,11 @@
         this.#effects.push(...effects);
     }
 
-    /** Takes the facts and effects that were queued since the last call. */
+    /**
+     * Takes the facts and effects that were queued since the last call.
+     *
+     * @returns Facts to replicate, and effects to run after they are committed.
+     */
     takeOutput(): DispatchOutput {
         const output = { facts: this.#facts, effects: this.#effects };
         this.#facts = [];
--- a/dispatch/advice_scheduler.ts
+++ b/dispatch/advice_scheduler.ts
@@ -132,7 +132,7 @@
     }
 
     /**
-     * Starts as many calls as there are free fronts, in order of rank.
+     * Starts the waiting calls for which a front is free, in order of rank.
      *
      * @param now The current monotonic time, in ms.
      * @returns The started calls with their fronts.
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -120,7 +120,12 @@
         return this.#context.takeOutput();
     }
 
-    /** Counts the accepted jobs of a queue that have not started a task. */
+    /**
+     * Counts the accepted jobs of a queue that have not started a task.
+     *
+     * @param queue The queue.
+     * @returns The number of jobs.
+     */
     countPending(queue: QueueName): number {
         let count = 0;
         for (const job of this.#context.stateStore.jobs.values()) {
@@ -295,7 +300,7 @@
      *
      * @param id The worker.
      * @param sequence Sequence number, which increases with each heartbeat of the worker.
-     * @param clockMs The worker's clock when the heartbeat was sent.
+     * @param clockMs The worker's clock when the heartbeat was sent, in ms, if it was included.
      * @param capacity The reported capacity, which may differ from what this leader has recorded.
      */
     handleKeepAlive(
--- a/dispatch/worker_registry.ts
+++ b/dispatch/worker_registry.ts
@@ -364,7 +364,7 @@
      * Records that a worker answered.
      *
      * @param worker The worker.
-     * @param clockMs The worker's clock, if the answer included it.
+     * @param clockMs The worker's clock, in ms, if the answer included it.
      * @param now The current monotonic time, in ms.
      */
     recordAnswer(worker: WorkerState, clockMs: number | undefined, now: number): void {
--- a/dispatch/worker_speed.ts
+++ b/dispatch/worker_speed.ts
@@ -48,7 +48,7 @@
      * Ranks the worker by its speed.
      *
      * @param now The current monotonic time, in ms.
-     * @returns 1 for normal speed or too few samples, 2 for slow, 3 for stalled.
+     * @returns 1 for normal speed or too few recent samples, 2 for slow, 3 for stalled.
      */
     computeSpeedRank(now: number): number {
         if (now - this.#recordedAtMs > EXPIRY_MS || this.#elapsedMs < MIN_OBSERVED_MS) {
--- a/dispatch/zone_ranking.ts
+++ b/dispatch/zone_ranking.ts
@@ -7,7 +7,7 @@
  * ```ts
  * import { rankZones } from "./zone_ranking.ts";
  * const ranks = rankZones(candidates, { tasksByZone, isSpread: false });
- * candidates.sort((a, b) => ranks.get(a.zone) - ranks.get(b.zone));
+ * ranks.get("hall-a"); // 0 if hall-a is preferred
  * ```
  *
  * @module
--- a/entry/config_group.ts
+++ b/entry/config_group.ts
@@ -63,11 +63,13 @@
     }
 
     /**
-     * Proposes a rules change; this instance must be the leader.
+     * Proposes a rules change.
      *
      * @param change The change.
      * @param problems Problems that the zones' groups reported; any of them rejects the change.
      * @returns Whether the change was applied, rejected, or conflicts with a newer version.
+     * @throws {NotLeaderError} If this instance does not lead the group.
+     * @throws {OutcomeUnknownError} If leadership ended and the change may still be applied.
      */
     setRules(change: RulesChange, problems: readonly string[]): Promise<RulesChangeResult> {
         return this.member.replica.propose({ change, problems });
--- a/entry/entry.ts
+++ b/entry/entry.ts
@@ -183,7 +183,11 @@
         });
     }
 
-    /** The cell of the first zone replica; for read-only use in tests and tools. */
+    /**
+     * The cell of the first zone replica; for read-only use in tests and tools.
+     *
+     * @throws {Error} If this instance has no zone replica.
+     */
     get cell(): Cell {
         const [zone] = this.#zones.values();
         if (zone === undefined) {
--- a/entry/zone_group.ts
+++ b/entry/zone_group.ts
@@ -181,6 +181,9 @@
      *
      * @param spec The request.
      * @returns The request's status after the commit.
+     * @throws {MethodError} With {@link KEY_CONFLICT_CODE} if the key belongs to another request.
+     * @throws {NotLeaderError} If this instance does not lead the group.
+     * @throws {OutcomeUnknownError} If leadership ended and the input may still be applied.
      */
     async submit(spec: RequestSpec): Promise<RequestStatus> {
         return (await this.#propose((at) => ({ type: "submit", at, spec }))) as RequestStatus;
@@ -191,6 +194,8 @@
      *
      * @param request The request.
      * @returns The request's status, or `undefined` for an unknown id.
+     * @throws {NotLeaderError} If this instance does not lead the group.
+     * @throws {OutcomeUnknownError} If leadership ended and the input may still be applied.
      */
     async cancel(request: RequestId): Promise<RequestStatus | undefined> {
         return (await this.#propose((at) => ({ type: "cancel", at, request }))) as
@@ -203,6 +208,8 @@
      * @param type Whether to start or to end the drain.
      * @param instance The instance.
      * @returns False for an unknown instance.
+     * @throws {NotLeaderError} If this instance does not lead the group.
+     * @throws {OutcomeUnknownError} If leadership ended and the input may still be applied.
      */
     async drain(type: "drain" | "undrain", instance: InstanceId): Promise<boolean> {
         return (await this.#propose((at) => ({ type, at, instance }))) as boolean;
@@ -214,6 +221,8 @@
      * @param from The group that hands the requests over.
      * @param items The requests.
      * @returns One answer per request, in order.
+     * @throws {NotLeaderError} If this instance does not lead the group.
+     * @throws {OutcomeUnknownError} If leadership ended and the input may still be applied.
      */
     adopt(from: GroupId, items: readonly AdoptItem[]): Promise<AdoptAnswer[]> {
         return Promise.all(items.map((item) => this.#adoptItem(from, item)));
@@ -268,6 +277,8 @@
      * Registers workers.
      *
      * @param workers The workers, with the address and incarnation of their process.
+     * @throws {NotLeaderError} If this instance does not lead the group.
+     * @throws {OutcomeUnknownError} If leadership ended and the input may still be applied.
      */
     async announceWorkers(
         workers: readonly {
@@ -290,6 +301,8 @@
      * Stops placing work on workers that shut down.
      *
      * @param instances The workers' instances.
+     * @throws {NotLeaderError} If this instance does not lead the group.
+     * @throws {OutcomeUnknownError} If leadership ended and the input may still be applied.
      */
     async handleLeaving(instances: readonly InstanceId[]): Promise<void> {
         await Promise.all(
@@ -303,6 +316,8 @@
      *
      * @param heartbeats The heartbeats.
      * @returns The workers that must announce themselves and the leases to stop.
+     * @throws {NotLeaderError} If this instance does not lead the group.
+     * @throws {OutcomeUnknownError} If leadership ended and the input may still be applied.
      */
     async handleHeartbeats(heartbeats: readonly Heartbeat[]): Promise<HeartbeatResponse> {
         const announce: InstanceId[] = [];
@@ -335,6 +350,8 @@
      * Handles task reports.
      *
      * @param reports The reports, in chronological order.
+     * @throws {NotLeaderError} If this instance does not lead the group.
+     * @throws {OutcomeUnknownError} If leadership ended and the input may still be applied.
      */
     async handleReports(reports: readonly LeaseReport[]): Promise<void> {
         await Promise.all(
--- a/load/cluster_runner.ts
+++ b/load/cluster_runner.ts
@@ -75,6 +75,7 @@
      *
      * @param options The settings files, the members and the zones.
      * @returns The running cluster.
+     * @throws {Error} When a process does not start or a group has no leader in time.
      */
     static async start(options: ClusterOptions): Promise<Cluster> {
         mkdirSync(options.dir, { recursive: true });
@@ -96,6 +97,7 @@
      *
      * @param id The ID of the entry instance.
      * @param bootstrap Whether the cell starts for the first time.
+     * @throws {Error} When the process exits early or does not report its address in time.
      */
     async startEntry(id: string, bootstrap = false): Promise<void> {
         const { dir, inventoryFile, rulesFile, snapshotIntervalEntries } = this.#options;
@@ -125,6 +127,7 @@
      * Starts the worker host of an availability zone.
      *
      * @param zone The zone.
+     * @throws {Error} When the process exits early or does not report its address in time.
      */
     async startWorkers(zone: string): Promise<void> {
         const { dir, inventoryFile, rulesFile, failing } = this.#options;
@@ -301,6 +304,7 @@
      * Waits until every group has a leader.
      *
      * @param excludedId An entry instance to skip, such as an isolated former leader.
+     * @throws {Error} When a group has no leader in time.
      */
     async waitLeaders(excludedId?: string): Promise<void> {
         await waitUntil("every group has a leader", async () => {
--- a/log/_followers.ts
+++ b/log/_followers.ts
@@ -19,14 +19,14 @@
 export interface FollowerProgress {
     nextIndex: number;
     matchIndex: number;
-    /** Send time of the newest message that this member acknowledged. */
+    /** Send time of the newest message that this member acknowledged, in ms. */
     ackedSentAtMs: number;
     /** The last index that was sent but not acknowledged; 0 if none. */
     inFlightIndex: number;
     lastSentAtMs: number;
     /** The commit index in the last append sent to this member. */
     sentCommitIndex: number;
-    /** Send time of the unacknowledged snapshot; 0 if none is in flight. */
+    /** Send time of the unacknowledged snapshot, in ms; 0 if none is in flight. */
     snapshotSentAtMs: number;
 }
 
--- a/log/entry_log.ts
+++ b/log/entry_log.ts
@@ -5,7 +5,7 @@
  * @example
  * ```ts
  * import { EntryLog } from "./entry_log.ts";
- * const log = new EntryLog({ index: 0, term: 0, voters: ["a", "b", "c"], entries: [] });
+ * const log = new EntryLog({ index: 0, term: 0, voters, entries: [] });
  * log.append({ index: 1, term: 1, type: "noop" });
  * log.getTermAt(1); // 1
  * ```
--- a/log/replica.ts
+++ b/log/replica.ts
@@ -322,7 +322,8 @@
      *
      * @param from The sender.
      * @param message A request or a response.
-     * @returns The response to a request, once the state that it confirms is persisted.
+     * @returns The response to a request, once the state that it confirms is persisted; `undefined`
+     * for a response, or when the replica is stopped.
      */
     receive(from: MemberId, message: GroupMessage): Promise<GroupMessage | undefined> {
         if (this.#isStopped) {
--- a/log/types.ts
+++ b/log/types.ts
@@ -141,6 +141,7 @@
      *
      * @param entries The entries to append.
      * @param hardState The hard state, if it changed.
+     * @throws {Error} If the write fails; the caller may retry it.
      */
     readonly append: (
         entries: readonly LogEntry[],
@@ -152,6 +153,7 @@
      * @param snapshot The snapshot.
      * @param remainingEntries The entries after the snapshot.
      * @param hardState The hard state.
+     * @throws {Error} If the write fails; the caller may retry it.
      */
     readonly compact: (
         snapshot: Snapshot,
--- a/membership/layout.ts
+++ b/membership/layout.ts
@@ -84,7 +84,8 @@
      * Finds the group that owns a request or lease.
      *
      * @param id The id of a request or lease.
-     * @returns The group, or `undefined` if the id has no group's prefix.
+     * @returns The group, or `undefined` if the id has no group's prefix. A single group owns all
+     * ids.
      */
     readonly findOwnerGroup: (id: string) => GroupLayout | undefined;
 }
--- a/membership/leader_router.ts
+++ b/membership/leader_router.ts
@@ -98,7 +98,11 @@
         return this.#leader;
     }
 
-    /** Lists the addresses of control instances: members that a leader reported, then seeds. */
+    /**
+     * Lists the addresses of control instances.
+     *
+     * @returns The members that a leader reported, then the seeds, each address once.
+     */
     listMembers(): string[] {
         return [...new Set([...this.#knownMembers, ...this.#options.listSeeds()])];
     }
@@ -128,7 +132,8 @@
      *
      * @param method The method, which must be idempotent.
      * @param params The parameters of the method.
-     * @param budget The time limit of all attempts together, in ms.
+     * @param budget The time limit of all attempts together, in ms, or separate limits; see
+     * {@link CallBudget}.
      * @returns The leader's response.
      * @throws {NoLeaderError} If no leader responds before the deadline.
      * @throws {RpcError} If the leader rejects the call.
--- a/standin/caller.ts
+++ b/standin/caller.ts
@@ -65,6 +65,7 @@
      *
      * @param requestId The ID of the request.
      * @returns The status of the request.
+     * @throws {RpcError} When the cell rejects the call or does not respond in time.
      */
     cancel(requestId: string): Promise<RequestStatus> {
         return this.#client.sendUntil(
@@ -79,6 +80,7 @@
      *
      * @param change The change.
      * @returns Whether the change was applied, conflicted with another, or was rejected.
+     * @throws {RpcError} When the cell rejects the call or does not respond in time.
      */
     setRules(change: RulesChange): Promise<RulesChangeResult> {
         return this.#client.sendUntil("rules.set", { change }, Date.now() + this.#resendTimeoutMs);
@@ -108,6 +110,7 @@
      *
      * @param specs The requests.
      * @returns The last status of each request, in the order of `specs`.
+     * @throws {RpcError} When the cell rejects a request or does not respond in time.
      */
     async runAll(specs: readonly RequestSpec[]): Promise<RequestStatus[]> {
         const accepted = await Promise.all(specs.map((spec) => this.submit(spec)));
--- a/telemetry/stages.ts
+++ b/telemetry/stages.ts
@@ -38,13 +38,13 @@
     /** In ms since 1970; the time of the first event if there is a single span. */
     readonly spanStartMs: number;
     readonly jobs: number;
-    /** Times from acceptance to each stage, ascending. */
+    /** Times from acceptance to each stage, in ms, ascending. */
     readonly latenciesMs: ReadonlyMap<Stage, readonly number[]>;
 }
 
 /** Options of {@link listStageRows}. */
 export interface StageOptions {
-    /** Length of a span; by default one span covers all events. */
+    /** Length of a span, in ms; by default one span covers all events. */
     readonly spanMs?: number;
 }
 
--- a/telemetry/timeline.ts
+++ b/telemetry/timeline.ts
@@ -28,7 +28,7 @@
 export interface PlacedUnit {
     readonly unit: number;
     readonly attempt: number;
-    /** Time from when the step became ready to the placement. */
+    /** Time from when the step became ready to the placement, in ms. */
     readonly waitedMs: number;
     readonly workers: readonly string[];
 }
@@ -38,12 +38,12 @@
     readonly task: string;
     readonly attempt: number;
     readonly worker: string;
-    /** Time since the worker accepted the task. */
+    /** Time since the worker accepted the task, in ms. */
     readonly tookMs: number;
 }
 
 interface RelativeTime {
-    /** Time from the event to the line that reports it. */
+    /** Time from the event to the line that reports it, in ms. */
     readonly agoMs: number;
 }
 
