--- a/dispatch/ranking_test.ts
+++ b/dispatch/ranking_test.ts
@@ -14,11 +14,11 @@
 });
 
 test("ranks by priority, then by lateness, then by age", (t) => {
-    const job = (acceptedAt: number) =>
+    const buildJobStep = (acceptedAt: number) =>
         ({ step: 0, job: { acceptedAt, spec: buildSpec({}) } }) as never;
     const slow = buildQueue({ priority: 2 });
     const rank = (acceptedAt: number, queue = URGENT): number =>
-        rankStep(job(acceptedAt), queue, 100_000);
+        rankStep(buildJobStep(acceptedAt), queue, 100_000);
     t.true(rank(99_900) < rank(99_950));
     t.true(rank(99_950) < rank(10_000));
     t.true(rank(10_000) < rank(99_000, slow));
--- a/rpc/timeout_test.ts
+++ b/rpc/timeout_test.ts
@@ -17,8 +17,8 @@
 
 /** Blocks the event loop for a given time. */
 function runBusyLoop(durationMs: number): void {
-    const end = performance.now() + durationMs;
-    while (performance.now() < end) {
+    const deadlineMs = performance.now() + durationMs;
+    while (performance.now() < deadlineMs) {
         // Spins until the time is over.
     }
 }
@@ -39,7 +39,7 @@
 
 test("a timeout fires in time, and a cancelled timeout does not fire", async (t) => {
     const fired: string[] = [];
-    const startedAt = performance.now();
+    const startedAtMs = performance.now();
     await new Promise<void>((resolve) => {
         startTimeout(TIMEOUT_MS / 2, () => fired.push("cancelled"))();
         startTimeout(TIMEOUT_MS, () => {
@@ -48,5 +48,5 @@
         });
     });
     t.deepEqual(fired, ["silent"]);
-    t.true(performance.now() - startedAt < 5 * TIMEOUT_MS);
+    t.true(performance.now() - startedAtMs < 5 * TIMEOUT_MS);
 });
