--- a/control/busy_leader_test.ts
+++ b/control/busy_leader_test.ts
@@ -5,8 +5,8 @@
 import { buildConfiguration, buildLeadership, ClusterFixture, waitUntil } from "./_fixtures.ts";
 import { METHODS, type CallerCall } from "./calls.ts";
 
-// Guards against a leader whose lease expires while its event loop is blocked, and that then
-// forwards calls in circles, or drops orders and counts them as worker failures.
+// Guards against a leader that forwards calls in circles, or drops orders and counts them as worker
+// failures, after its lease expired while its event loop was blocked.
 
 /** The lease expires after 1.6 s, and a leader without a quorum resigns after 2 s. */
 const TIMINGS: ConsensusTimings = { heartbeatMs: 80, electionMs: 2_000 };
--- a/control/daemon_test.ts
+++ b/control/daemon_test.ts
@@ -93,7 +93,7 @@
 test.serial(
     "a member that lost its disk rejoins, after which another member may fail",
     async (t) => {
-        // A member with an empty disk rejoins as a new incarnation before another member is lost.
+        // Guards against a rejoined member that does not count towards the quorum.
         const cluster = await startCluster(t);
         const leader = await cluster.waitForLeader();
         const [wiped, other] = [...cluster.daemons.keys()].filter((address) => address !== leader);
--- a/dispatch/_fixtures.ts
+++ b/dispatch/_fixtures.ts
@@ -110,6 +110,7 @@
     readonly #time = new VirtualTime();
     #heartbeatSequence = 0;
     #term = 1;
+    /** Incremented when a leader stops; commits and answers of earlier epochs are dropped. */
     #epoch = 0;
     dispatcher: Dispatcher;
 
--- a/dispatch/worker_speed_test.ts
+++ b/dispatch/worker_speed_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { WorkerSpeed } from "./worker_speed.ts";
 
-/** Records the progress of four concurrent tasks every 250 ms, and returns the end time. */
+/** Records the progress of four concurrent tasks every 250 ms, and returns the end time in ms. */
 function runTasks(
     speed: WorkerSpeed,
     startMs: number,
--- a/front/daemon_test.ts
+++ b/front/daemon_test.ts
@@ -154,7 +154,7 @@
 });
 
 test("a query about a job waits through an outage, a query about a queue does not", async (t) => {
-    // Guards against answers that seem to go back to an older configuration after an outage.
+    // A held queue query could be answered from a newer configuration than queries sent after it.
     const fixture = await startFronts(t, false);
     fixture.faultRelay.setMode("refuse");
     await wait(ISOLATION_DETECTION_MS);
--- a/log/consensus_test.ts
+++ b/log/consensus_test.ts
@@ -326,7 +326,7 @@
 });
 
 test("a voter change that would leave the group without a quorum is refused", (t) => {
-    // With two of six voters lost, removing live voters would leave the group without a quorum.
+    // With two of six voters lost, removing all live voters but the leader would leave no quorum.
     const group = new GroupFixture({ memberCount: 6, seed: 17 });
     group.runFor(5_000);
     const [lost1, lost2] = group.ids.filter((id) => id !== getLeader(group));
