--- a/control/daemon_test.ts
+++ b/control/daemon_test.ts
@@ -30,7 +30,7 @@
     });
 }
 
-test.serial("a job submitted through a front completes and its state can be read", async (t) => {
+test.serial("a job submitted twice runs once; unknown jobs and queues are reported", async (t) => {
     const cluster = await startCluster(t);
     const id = "00000000000000a1";
     t.deepEqual(await cluster.front.handleCaller(buildSubmit(id), 3_000), { type: "accepted" });
@@ -91,7 +91,7 @@
 });
 
 test.serial(
-    "a member that lost its disk rejoins, after which another member may fail",
+    "a member that lost its disk rejoins as a voter, so that another member may fail",
     async (t) => {
         // Guards against a rejoined member that does not count towards the quorum.
         const cluster = await startCluster(t);
@@ -115,7 +115,7 @@
 );
 
 test.serial(
-    "a configuration with an older or equal version is acknowledged and ignored",
+    "a configuration of an older or equal version is acknowledged and ignored, an invalid one rejected",
     async (t) => {
         const cluster = await startCluster(t);
         const daemon = cluster.daemons.get(await cluster.waitForLeader());
--- a/dispatch/capacity_test.ts
+++ b/dispatch/capacity_test.ts
@@ -95,7 +95,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
-test("a worker whose capacity has changed can still announce its shutdown", (t) => {
+test("a worker that announces its shutdown after a capacity change gets no new start", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 300 });
     cluster.runFor(2_000);
     cluster.setCapacity("w1" as WorkerId, REDUCED_CAPACITY);
@@ -192,7 +192,7 @@
 });
 
 // Guards against a control instance whose outdated state makes a change look like a keep-alive.
-test("a keep-alive still reports the worker's own capacity", (t) => {
+test("the capacity that a keep-alive reports limits the worker's starts", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 700 });
     cluster.runFor(1_600);
     cluster.dropHeartbeats("w1" as WorkerId);
--- a/dispatch/crash_loop_test.ts
+++ b/dispatch/crash_loop_test.ts
@@ -154,7 +154,7 @@
     t.is(cluster.getJobState(JOB), "failed");
 });
 
-test("a perpetual task survives any number of crashes long after its starts", (t) => {
+test("a perpetual task survives repeated worker crashes long after its starts", (t) => {
     const cluster = new SimulatedCluster({ workers: 3, taskMs: 1e9 });
     cluster.submit(JOB, buildSpec({ isPerpetual: true }));
     for (let i = 0; i < 8; i++) {
--- a/dispatch/dispatcher_test.ts
+++ b/dispatch/dispatcher_test.ts
@@ -249,7 +249,7 @@
 });
 
 for (const seed of [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12]) {
-    test(`invariants hold under random faults (seed ${seed})`, (t) => {
+    test(`invariants hold and all jobs complete under random faults (seed ${seed})`, (t) => {
         // Orders are lost or delayed, one worker is replaced at its address, and the leader
         // changes twice.
         const random = createRandom(seed);
--- a/job/state_store_test.ts
+++ b/job/state_store_test.ts
@@ -113,7 +113,7 @@
     t.is(addCrash(early, { attempt: 1, evidence: "late" }, false), early);
 });
 
-test("an attempt that runs past startup downgrades earlier crashes, and clears a perpetual task", (t) => {
+test("an attempt that runs past startup downgrades earlier crashes, or clears those of a perpetual task", (t) => {
     const early = addCrash([], { attempt: 1, evidence: "sole" }, false);
     t.deepEqual(addCrash(early, { attempt: 2, evidence: "late" }, false), [
         { attempt: 1, evidence: "late" },
--- a/log/consensus_test.ts
+++ b/log/consensus_test.ts
@@ -325,7 +325,7 @@
     t.false(requestVote(createNode(10_000 - DEFAULT_TIMINGS.electionMs + 1)));
 });
 
-test("a voter change that would leave the group without a quorum is refused", (t) => {
+test("proposals to remove live voters leave the group a quorum, and lost voters can be removed", (t) => {
     // With two of six voters lost, removing all live voters but the leader would leave no quorum.
     const group = new GroupFixture({ memberCount: 6, seed: 17 });
     group.runFor(5_000);
--- a/standin/worker_agent_test.ts
+++ b/standin/worker_agent_test.ts
@@ -27,7 +27,7 @@
     });
 }
 
-test("a worker refuses leases with a stale epoch or too large a demand, and stops tasks whose lease expires", (t) => {
+test("a worker declines leases with a stale epoch or too large a demand, and stops tasks whose lease expires", (t) => {
     // Guards against running one task twice, by a delayed offer or after its lease expired.
     const agent = buildAgent();
     t.is(agent.acceptLease(buildOffer(5), 0).status, "accepted");
@@ -52,7 +52,7 @@
     t.is(agent.heldResources.cores, 0);
 });
 
-test("a worker refuses an offer based on a heartbeat older than the time to live of the lease", (t) => {
+test("a worker declines an offer based on a heartbeat older than the time to live of the lease", (t) => {
     // Guards against an offer of a paused leader whose successor leased the task elsewhere.
     const agent = buildAgent();
     const late = agent.acceptLease(buildOffer(5, { beatAt: 0 }), 101);
