--- a/control/daemon_test.ts
+++ b/control/daemon_test.ts
@@ -30,7 +30,7 @@
     });
 }
 
-test.serial("a job submitted twice runs once; unknown jobs and queues are reported", async (t) => {
+test.serial("a job submitted through a front completes and its state can be read", async (t) => {
     const cluster = await startCluster(t);
     const id = "00000000000000a1";
     t.deepEqual(await cluster.front.handleCaller(buildSubmit(id), 3_000), { type: "accepted" });
--- a/dispatch/capacity_test.ts
+++ b/dispatch/capacity_test.ts
@@ -82,6 +82,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
+// Guards against capacity that stays unused after it is restored.
 test("a worker whose capacity is restored is fully used again", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 700 });
     cluster.runFor(2_000);
@@ -95,6 +96,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
+// Guards against ignoring a worker's shutdown notice after its capacity has changed.
 test("a worker that announces its shutdown after a capacity change gets no new start", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 300 });
     cluster.runFor(2_000);
@@ -131,6 +133,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
+// Guards against starts on a worker whose heartbeats, and so its capacity changes, are lost.
 test("a worker that answers orders but whose heartbeats are lost gets no start that exceeds its capacity", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 700 });
     cluster.runFor(2_000);
@@ -140,6 +143,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
+// Guards against sending a start after a slow commit, when its capacity report is stale.
 test("a start delayed by a slow commit is not sent when the capacity report is stale", (t) => {
     let commitDelayMs = 12;
     const cluster = new SimulatedCluster({
@@ -158,6 +162,7 @@
     t.is(cluster.runs.length, 0);
 });
 
+// Guards against rejecting work as infeasible during a temporary capacity reduction.
 test("a job that fits the workers' full capacity is not rejected while that capacity is reduced", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 300 });
     cluster.runFor(2_000);
@@ -174,6 +179,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
+// Guards against starts that rely on a single unconfirmed report of larger capacity.
 test("a larger capacity that was reported only once is not allocated", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 700 });
     cluster.runFor(1_000);
@@ -182,6 +188,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
+// Guards against a false report of smaller capacity that disables a worker permanently.
 test("a falsely reported smaller capacity lasts until the worker's own next heartbeats", (t) => {
     const cluster = new SimulatedCluster({ workers: 1, taskMs: 300 });
     cluster.runFor(1_000);
--- a/dispatch/crash_loop_test.ts
+++ b/dispatch/crash_loop_test.ts
@@ -154,6 +154,7 @@
     t.is(cluster.getJobState(JOB), "failed");
 });
 
+// Guards against failing a perpetual task because of occasional crashes over a long run.
 test("a perpetual task survives repeated worker crashes long after its starts", (t) => {
     const cluster = new SimulatedCluster({ workers: 3, taskMs: 1e9 });
     cluster.submit(JOB, buildSpec({ isPerpetual: true }));
@@ -166,6 +167,7 @@
     t.is(cluster.runs.length, 9);
 });
 
+// Guards against failing tasks that merely shared a worker with the crashing one.
 test("jobs that share workers with crashing tasks complete", (t) => {
     const crashingJobs = new Set(buildJobIds(160).filter((_id, i) => i % 20 === 7));
     const cluster = buildCrashingCluster({
@@ -187,6 +189,7 @@
     t.deepEqual(cluster.violations, []);
 });
 
+// Guards against counting an announced shutdown as a crash of the tasks that were running there.
 test("tasks on workers that announced their shutdown are not suspected of a crash", (t) => {
     const cluster = new SimulatedCluster({ workers: 2, taskMs: 30_000 });
     cluster.submit(JOB, buildSpec({}));
@@ -206,6 +209,7 @@
     );
 });
 
+// Guards against failing jobs whose workers crash for unrelated reasons.
 test("jobs complete on workers that crash occasionally for unrelated reasons", (t) => {
     const random = createRandom(5);
     const cluster = new SimulatedCluster({ workers: 12, taskMs: 1_500 });
