--- a/control/_fixtures.ts
+++ b/control/_fixtures.ts
@@ -235,7 +235,7 @@
         propose: (batch) => Promise.resolve(committedState.apply(batch)),
         waitForLease: options.waitForLease,
         term: 1,
-        clock: { getNow: () => performance.now(), getWallTime: () => Date.now() },
+        clock: { getNow: () => performance.now(), getWallTimeMs: () => Date.now() },
         workerCalls: createImmediateWorkerCalls(options.onStart),
         advise: () => Promise.resolve({ admissions: undefined }),
         log: createLogger({ process: "c1", zone: "z", sink }),
--- a/control/clock_jump_detector.ts
+++ b/control/clock_jump_detector.ts
@@ -16,7 +16,7 @@
 /** Clock sources of {@link ClockJumpDetector}, in ms. */
 export interface ClockSources {
     readonly getMonotonicMs?: () => number;
-    readonly getWallMs?: () => number;
+    readonly getWallTimeMs?: () => number;
 }
 
 /**
@@ -29,7 +29,7 @@
 export class ClockJumpDetector {
     readonly #onJump: () => void;
     readonly #getMonotonicMs: () => number;
-    readonly #getWallMs: () => number;
+    readonly #getWallTimeMs: () => number;
     #offsetMs: number;
 
     /**
@@ -39,13 +39,13 @@
     constructor(onJump: () => void, clocks: ClockSources = {}) {
         this.#onJump = onJump;
         this.#getMonotonicMs = clocks.getMonotonicMs ?? (() => performance.now());
-        this.#getWallMs = clocks.getWallMs ?? (() => Date.now());
-        this.#offsetMs = this.#getWallMs() - this.#getMonotonicMs();
+        this.#getWallTimeMs = clocks.getWallTimeMs ?? (() => Date.now());
+        this.#offsetMs = this.#getWallTimeMs() - this.#getMonotonicMs();
     }
 
     /** Checks the offset between the clocks. Call it before relying on the monotonic clock. */
     check(): void {
-        const offsetMs = this.#getWallMs() - this.#getMonotonicMs();
+        const offsetMs = this.#getWallTimeMs() - this.#getMonotonicMs();
         const jumpMs = offsetMs - this.#offsetMs;
         this.#offsetMs = offsetMs;
         if (Math.abs(jumpMs) > JUMP_THRESHOLD_MS) {
--- a/control/clock_jump_detector_test.ts
+++ b/control/clock_jump_detector_test.ts
@@ -10,7 +10,7 @@
     const jumps: number[] = [];
     const detector = new ClockJumpDetector(() => jumps.push(clocks.wallMs), {
         getMonotonicMs: () => clocks.monotonicMs,
-        getWallMs: () => clocks.wallMs,
+        getWallTimeMs: () => clocks.wallMs,
     });
     return { detector, clocks, jumps };
 }
--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -471,7 +471,7 @@
             term: replica.term,
             clock: {
                 getNow: () => performance.now(),
-                getWallTime: () => this.#clock.getNow(),
+                getWallTimeMs: () => this.#clock.getNow(),
             },
             workerCalls: this.#options.workerCalls,
             advise: (front, call) => this.#sendAdvise(front, call),
--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -358,7 +358,7 @@
 
     async #propose(facts: readonly Fact[]): Promise<void> {
         const startedAtMs = performance.now();
-        await this.#options.propose({ at: this.#options.clock.getWallTime(), facts });
+        await this.#options.propose({ at: this.#options.clock.getWallTimeMs(), facts });
         this.#options.metrics?.commitSeconds.observe((performance.now() - startedAtMs) / 1_000);
     }
 
--- a/dispatch/_context.ts
+++ b/dispatch/_context.ts
@@ -88,7 +88,7 @@
      */
     recordFact(fact: Fact): void {
         this.#facts.push(fact);
-        this.stateStore.apply({ at: this.clock.getWallTime(), facts: [fact] });
+        this.stateStore.apply({ at: this.clock.getWallTimeMs(), facts: [fact] });
     }
 
     /**
--- a/dispatch/_fixtures.ts
+++ b/dispatch/_fixtures.ts
@@ -296,7 +296,7 @@
     #createDispatcher(): Dispatcher {
         return new Dispatcher({
             stateStore: this.committedState.copy(),
-            clock: { getNow: () => this.now, getWallTime: () => this.now },
+            clock: { getNow: () => this.now, getWallTimeMs: () => this.now },
             firstFence: this.#term * FENCES_PER_TERM,
         });
     }
--- a/dispatch/_placer.ts
+++ b/dispatch/_placer.ts
@@ -97,12 +97,12 @@
     }
 
     #rankWaiting(): RankedStep[] {
-        const wallMs = this.#context.clock.getWallTime();
+        const wallTimeMs = this.#context.clock.getWallTimeMs();
         const ranked: RankedStep[] = [];
         for (const step of this.#context.readySteps.steps) {
             const queue = step.waiting.size > 0 ? this.#context.findQueue(step.queue) : undefined;
             if (queue !== undefined) {
-                ranked.push({ step, queue, rank: rankStep(step, queue, wallMs) });
+                ranked.push({ step, queue, rank: rankStep(step, queue, wallTimeMs) });
             }
         }
         return ranked.sort((a, b) => a.rank - b.rank);
@@ -287,7 +287,7 @@
             unit: unitNumber,
             attempt,
             workers,
-            waitedMs: Math.round(this.#context.clock.getWallTime() - step.readyAtMs),
+            waitedMs: Math.round(this.#context.clock.getWallTimeMs() - step.readyAtMs),
         });
     }
 
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -442,7 +442,7 @@
     }
 
     #removeEndedJobs(): void {
-        const before = this.#context.clock.getWallTime() - this.#context.limits.retentionMs;
+        const before = this.#context.clock.getWallTimeMs() - this.#context.limits.retentionMs;
         for (const job of this.#context.stateStore.jobs.values()) {
             if (job.endedAt !== undefined && job.endedAt < before && job.occurrences.size === 0) {
                 this.#context.recordFact({ type: "jobsForgotten", before });
--- a/dispatch/dispatcher_test.ts
+++ b/dispatch/dispatcher_test.ts
@@ -320,7 +320,7 @@
     const busy = new Set(cluster.runs.map(({ worker }) => worker));
     const nextLeader = new Dispatcher({
         stateStore: cluster.committedState.copy(),
-        clock: { getNow: () => cluster.now, getWallTime: () => cluster.now },
+        clock: { getNow: () => cluster.now, getWallTimeMs: () => cluster.now },
         firstFence: 2_000_000,
     });
     const polledWorkers = nextLeader
--- a/dispatch/ranking.ts
+++ b/dispatch/ranking.ts
@@ -5,7 +5,7 @@
  * @example
  * ```ts
  * import { rankStep } from "./ranking.ts";
- * steps.sort((a, b) => rankStep(a, queue, wallMs) - rankStep(b, queue, wallMs));
+ * steps.sort((a, b) => rankStep(a, queue, wallTimeMs) - rankStep(b, queue, wallTimeMs));
  * ```
  *
  * @module
@@ -32,17 +32,17 @@
  *
  * @param step The step.
  * @param queue Its queue.
- * @param wallMs The current time, in ms since 1970.
+ * @param wallTimeMs The current time, in ms since 1970.
  * @returns The rank; the smallest goes first.
  */
 export function rankStep(
     step: Pick<ReadyStep, "job" | "step">,
     queue: Pick<QueueConfig, "priority" | "stretch" | "targetLatencyMs">,
-    wallMs: number,
+    wallTimeMs: number,
 ): number {
     const { acceptedAt, spec } = step.job;
     const objectiveMs = computeLatencyObjectiveMs(spec, queue);
-    const elapsedMs = wallMs - acceptedAt;
+    const elapsedMs = wallTimeMs - acceptedAt;
     const base = queue.priority * RANK_PER_PRIORITY + acceptedAt;
     if (elapsedMs > EXPIRY_FACTOR * ESTIMATE_ERROR_MARGIN * objectiveMs) {
         return base + EXPIRED_RANK_OFFSET;
--- a/dispatch/ready_steps.ts
+++ b/dispatch/ready_steps.ts
@@ -136,13 +136,13 @@
      * @returns Whether any were opened.
      */
     openDueOccurrences(): boolean {
-        const wallTime = this.#clock.getWallTime();
+        const wallTimeMs = this.#clock.getWallTimeMs();
         let hasOpened = false;
         for (const [id, schedule] of this.#schedules) {
             const { job } = schedule;
             const spec = job.spec;
             while (spec !== undefined && schedule.nextOccurrence < countOccurrences(job)) {
-                if (spec.firstAtMs + schedule.nextOccurrence * spec.periodMs > wallTime) {
+                if (spec.firstAtMs + schedule.nextOccurrence * spec.periodMs > wallTimeMs) {
                     break;
                 }
                 this.#openOccurrence(job, schedule.nextOccurrence);
@@ -259,7 +259,7 @@
             ...step,
             queue: step.job.queue,
             waiting,
-            readyAtMs: this.#clock.getWallTime(),
+            readyAtMs: this.#clock.getWallTimeMs(),
             advice: {
                 queriedWorkers: new Set(),
                 admitted: new Map(),
--- a/dispatch/types.ts
+++ b/dispatch/types.ts
@@ -33,7 +33,7 @@
     /** Monotonic clock, in ms. */
     readonly getNow: () => number;
     /** Wall clock in ms since 1970; does not go back across leaders. */
-    readonly getWallTime: () => number;
+    readonly getWallTimeMs: () => number;
 }
 
 /**
--- a/entry/_cluster_fixtures.ts
+++ b/entry/_cluster_fixtures.ts
@@ -130,7 +130,7 @@
         this.#name = options.name ?? "console-1";
         this.#caller = new Caller({
             entry: cluster.listEntries("caller", options.zone),
-            resendTimeoutMs: options.resendMs ?? 30_000,
+            retryTimeoutMs: options.resendMs ?? 30_000,
         });
     }
 
--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -89,7 +89,7 @@
  * Time from the leader's last answer until the load balancer has moved callers to another zone, in
  * ms: every front of the zone must first fail two checks, one second apart.
  */
-const BALANCER_FAILOVER_MS = READINESS_TIMEOUT_MS + 2_700;
+const LOAD_BALANCER_FAILOVER_MS = READINESS_TIMEOUT_MS + 2_700;
 /**
  * `Retry-After` of an isolated front before the load balancer has moved its callers, in ms. Spaces
  * the retries out so that a caller does not use all of them on the same front.
@@ -364,7 +364,7 @@
 
     /** Whether the load balancer routes a retry to another front by now. */
     get #hasBalancerFailedOver(): boolean {
-        return this.#reachability.sinceLeaderAnswerMs > BALANCER_FAILOVER_MS;
+        return this.#reachability.sinceLeaderAnswerMs > LOAD_BALANCER_FAILOVER_MS;
     }
 
     #computeRetryAfterMs(): number {
--- a/standin/caller.ts
+++ b/standin/caller.ts
@@ -21,7 +21,7 @@
     /** The entry instances, in the format of {@link parseEntries}. */
     readonly entry: string;
     /** How long a call without a response is retried, in ms. */
-    readonly resendTimeoutMs?: number;
+    readonly retryTimeoutMs?: number;
     /** The longest wait for all requests to become final, in ms. */
     readonly completionTimeoutMs?: number;
 }
@@ -32,7 +32,7 @@
 /** Submits requests to a cell and follows them to their final state. */
 export class Caller {
     readonly #client: EntryClient;
-    readonly #resendTimeoutMs: number;
+    readonly #retryTimeoutMs: number;
     readonly #completionTimeoutMs: number;
 
     /**
@@ -40,7 +40,7 @@
      */
     constructor(options: CallerOptions) {
         this.#client = new EntryClient({ entries: parseEntries(options.entry) });
-        this.#resendTimeoutMs = options.resendTimeoutMs ?? 15_000;
+        this.#retryTimeoutMs = options.retryTimeoutMs ?? 15_000;
         this.#completionTimeoutMs = options.completionTimeoutMs ?? 120_000;
     }
 
@@ -56,7 +56,7 @@
         return this.#client.sendUntil(
             "request.submit",
             { spec },
-            Date.now() + this.#resendTimeoutMs,
+            Date.now() + this.#retryTimeoutMs,
         );
     }
 
@@ -71,7 +71,7 @@
         return this.#client.sendUntil(
             "request.cancel",
             { requestId },
-            Date.now() + this.#resendTimeoutMs,
+            Date.now() + this.#retryTimeoutMs,
         );
     }
 
@@ -83,7 +83,7 @@
      * @throws {RpcError} When the cell rejects the call or does not respond in time.
      */
     setRules(change: RulesChange): Promise<RulesChangeResult> {
-        return this.#client.sendUntil("rules.set", { change }, Date.now() + this.#resendTimeoutMs);
+        return this.#client.sendUntil("rules.set", { change }, Date.now() + this.#retryTimeoutMs);
     }
 
     /**
--- a/standin/worker_agent.ts
+++ b/standin/worker_agent.ts
@@ -54,7 +54,7 @@
 }
 
 /** The response to a lease offer. */
-export interface LeaseReply {
+export interface GrantReply {
     readonly lease: LeaseId;
     /** `unknown`: the offer is for another incarnation, which may have run the task. */
     readonly status: "accepted" | "declined" | "unknown";
@@ -72,7 +72,7 @@
     readonly #usageLagMs: number;
     readonly #running = new Map<LeaseId, RunningTask>();
     readonly #highestEpoch = new Map<TaskId, number>();
-    readonly #replies = new Map<LeaseId, { readonly reply: LeaseReply; readonly at: number }>();
+    readonly #replies = new Map<LeaseId, { readonly reply: GrantReply; readonly at: number }>();
     readonly #incarnation: string;
     #heldResources: Resources = NO_RESOURCES;
     #reports: AgentReport[] = [];
@@ -99,7 +99,7 @@
      * @param now The current time, in ms.
      * @returns The reply, with the reason of a refusal.
      */
-    acceptLease(offer: GrantMessage, now: number): LeaseReply {
+    acceptLease(offer: GrantMessage, now: number): GrantReply {
         const previous = this.#replies.get(offer.lease);
         if (previous !== undefined) {
             return previous.reply;
@@ -111,7 +111,7 @@
             }
             return refusal;
         }
-        const reply: LeaseReply = { lease: offer.lease, status: "accepted", reason: "" };
+        const reply: GrantReply = { lease: offer.lease, status: "accepted", reason: "" };
         this.#replies.set(offer.lease, { reply, at: now });
         this.#highestEpoch.set(offer.task, offer.epoch);
         this.#heldResources = addResources(this.#heldResources, offer.demand);
@@ -132,7 +132,7 @@
         return reply;
     }
 
-    #findRefusal(offer: GrantMessage, now: number): LeaseReply | undefined {
+    #findRefusal(offer: GrantMessage, now: number): GrantReply | undefined {
         const { lease } = offer;
         if (offer.incarnation !== this.#incarnation) {
             return {
--- a/standin/worker_host.ts
+++ b/standin/worker_host.ts
@@ -21,7 +21,7 @@
 import { startRpcServer, type RpcServer } from "../rpc/mod.ts";
 import { createLogger } from "../telemetry/mod.ts";
 import { EntryClient, parseEntries } from "./entry_client.ts";
-import { WorkerAgent, type AgentReport, type LeaseReply } from "./worker_agent.ts";
+import { WorkerAgent, type AgentReport, type GrantReply } from "./worker_agent.ts";
 
 /** Options of {@link WorkerHost}. */
 export interface WorkerHostOptions {
@@ -133,9 +133,9 @@
         );
     }
 
-    #handleGrant(params: { leases: GrantMessage[] }): { replies: LeaseReply[] } {
+    #handleGrant(params: { leases: GrantMessage[] }): { replies: GrantReply[] } {
         const now = getMonotonicNowMs();
-        const replies = params.leases.map((offer): LeaseReply => {
+        const replies = params.leases.map((offer): GrantReply => {
             const agent = this.agents.get(offer.instance);
             if (agent === undefined) {
                 return {
@@ -154,7 +154,7 @@
         return { replies };
     }
 
-    #recordReply(offer: GrantMessage, reply: LeaseReply): void {
+    #recordReply(offer: GrantMessage, reply: GrantReply): void {
         this.#log.info(reply.status === "accepted" ? "task started" : "lease declined", {
             request: offer.request,
             instance: offer.instance,
