--- a/cell/_cell_state.ts
+++ b/cell/_cell_state.ts
@@ -66,7 +66,7 @@
     readonly otherZoneWorkers?: readonly (readonly WorkerState[])[];
     /** How long an ended request keeps its full event history, in ms. */
     readonly retentionMs?: number;
-    /** How long the idempotency key and end state are kept after that, in ms. */
+    /** How long the idempotency key and final state are kept after that, in ms. */
     readonly keyRetentionMs?: number;
 }
 
@@ -280,7 +280,7 @@
 
     /**
      * Removes the event history of requests past their retention, and later their idempotency keys.
-     * The end state and key are kept longer, so that a resend does not run a request again.
+     * The final state and key are kept longer, so that a resend does not run a request again.
      *
      * @param nowMs The current time in ms.
      */
@@ -363,7 +363,8 @@
 }
 
 /**
- * The summary of an ended request whose event history was removed. Times are in ms since the epoch.
+ * The summary of an ended request whose event history was removed. Times are in ms since the Unix
+ * epoch.
  */
 export interface Tombstone {
     readonly id: RequestId;
--- a/cell/_hand_over_manager.ts
+++ b/cell/_hand_over_manager.ts
@@ -100,11 +100,11 @@
     }
 
     /**
-     * Processes the end state that the other group reported.
+     * Processes the final state that the other group reported.
      *
      * @param id The request's id.
      * @param key Its idempotency key in the other group; results of earlier hand-overs are ignored.
-     * @param result The end state.
+     * @param result The final state.
      * @param nowMs The current time in ms.
      */
     handleResult(id: RequestId, key: string, result: HandOverResult, nowMs: number): void {
--- a/cell/_lifecycle.ts
+++ b/cell/_lifecycle.ts
@@ -196,9 +196,8 @@
     }
 
     /**
-     * Emits every unanswered offer and unconfirmed stop again, since the previous leader may not
-     * have sent them. A worker gives the same answer to a repeated offer, so resending is
-     * idempotent.
+     * Emits every unacknowledged offer and stop again, since the previous leader may not have sent
+     * them. A worker gives the same reply to a repeated offer, so resending is idempotent.
      */
     emitUnacknowledged(): void {
         for (const id of this.#state.liveLeases) {
--- a/cell/cell.ts
+++ b/cell/cell.ts
@@ -445,8 +445,8 @@
 
     /**
      * Prepares the cell for a new leader. Workers and leases get their full timeout again, because
-     * the last heartbeats to the previous leader may not be in the log, and unconfirmed messages
-     * are emitted again.
+     * the last heartbeats to the previous leader may not be in the log, and unacknowledged
+     * messages are emitted again.
      *
      * @param nowMs The current time in ms.
      */
--- a/cell/types.ts
+++ b/cell/types.ts
@@ -37,7 +37,7 @@
 export const HANDED_OVER_CALLER_PREFIX = "@";
 /**
  * Prefix, in such a request's event history, of its hand-over key, which contains its id in the
- * first group. The audit of the event log matches this text.
+ * first group. The audit of the merged logs matches this text.
  */
 export const HANDED_OVER_DETAIL_PREFIX = "handed over as ";
 
@@ -63,7 +63,7 @@
 
 /** An entry of a request's event history. */
 export interface RequestEvent {
-    /** Time in ms since the epoch. */
+    /** Time in ms since the Unix epoch. */
     readonly at: number;
     readonly event: string;
     readonly detail: string;
@@ -94,7 +94,7 @@
     readonly isCancelled: boolean;
 }
 
-/** A request and its state in the cell. Times are in ms since the epoch. */
+/** A request and its state in the cell. Times are in ms since the Unix epoch. */
 export interface RequestRecord {
     readonly id: RequestId;
     readonly seq: number;
@@ -136,7 +136,7 @@
     readonly events: RequestEvent[];
 }
 
-/** A lease that assigns one task to one worker. Times are in ms since the epoch. */
+/** A lease that assigns one task to one worker. Times are in ms since the Unix epoch. */
 export interface LeaseRecord {
     readonly id: LeaseId;
     readonly task: TaskId;
@@ -157,7 +157,7 @@
     stopSent: boolean;
 }
 
-/** The status of a request as its caller sees it. Times are in ms since the epoch. */
+/** The status of a request as its caller sees it. Times are in ms since the Unix epoch. */
 export interface RequestStatus {
     readonly requestId: RequestId;
     readonly caller: string;
@@ -196,8 +196,9 @@
 export interface GrantMessage extends LeaseMessage {
     /**
      * The sending time, by the worker's clock, of the newest heartbeat that the sender of the offer
-     * had received. The worker refuses an offer whose heartbeat is older than the time to live: the
-     * sender may have been paused and replaced as leader, and the task leased to another worker.
+     * had received. The worker declines an offer whose heartbeat is older than the time to live:
+     * the sender may have been paused and replaced as leader, and the task leased to another
+     * worker.
      */
     readonly beatAt: number;
 }
@@ -238,7 +239,7 @@
 
 /**
  * An input that changes the cell; inputs are logged, and replaying them gives the same state. `at`
- * is the leader's time in ms since the epoch.
+ * is the leader's time in ms since the Unix epoch.
  */
 export type CellInput =
     | { readonly type: "submit"; readonly at: number; readonly spec: RequestSpec }
@@ -265,7 +266,7 @@
           readonly request: RequestId;
           readonly to: string;
       }
-    /** The other group reported the request's end state. */
+    /** The other group reported the request's final state. */
     | {
           readonly type: "handOverResult";
           readonly at: number;
@@ -298,7 +299,7 @@
       }
     | { readonly type: "setRules"; readonly at: number; readonly change: RulesChange };
 
-/** The end state of a request in another zone's group. */
+/** The final state of a request in another zone's group. */
 export type HandOverResult = Pick<
     RequestStatus,
     "requestId" | "state" | "started" | "mayHaveRun" | "startedAt" | "reason"
--- a/control/calls.ts
+++ b/control/calls.ts
@@ -50,7 +50,7 @@
     | { readonly type: "state"; readonly host: string; readonly path: string }
     | { readonly type: "cancel"; readonly host: string; readonly path: string };
 
-/** The leader's response to a caller. */
+/** The leader's answer to a caller. */
 export type CallerAnswer =
     | { readonly type: "accepted" }
     | { readonly type: "state"; readonly state: JobState }
@@ -91,7 +91,7 @@
     readonly wantsPeers?: boolean;
 }
 
-/** The leader's response to a hello message. */
+/** The leader's answer to a hello message. */
 export interface HelloAnswer {
     readonly leader: string;
     /** RPC addresses of the control instances that are live or are voters. */
@@ -122,7 +122,7 @@
 /** A front's answer to a probe: whether it reaches the leader. */
 export interface ReachabilityAnswer {
     readonly hearsLeader: boolean;
-    /** The leader's RPC address from its last hello response. */
+    /** The leader's RPC address from its last hello answer. */
     readonly leader?: string;
 }
 
--- a/control/daemon.ts
+++ b/control/daemon.ts
@@ -108,7 +108,7 @@
 /** The timeout of a worker's or an operator's call that is forwarded to the leader, in ms. */
 const FORWARD_TIMEOUT_MS = 900;
 /**
- * The number of peer fronts of each availability zone in a hello response; more than one for
+ * The number of peer fronts of each availability zone in a hello answer; more than one for
  * redundancy.
  */
 const PEER_FRONTS_PER_ZONE = 2;
@@ -143,7 +143,7 @@
     );
 
     /**
-     * @param options Addresses, seeds and data folder; see {@link ControlDaemonOptions}.
+     * @param options Addresses, seeds and data directory; see {@link ControlDaemonOptions}.
      */
     constructor(options: ControlDaemonOptions) {
         this.#options = options;
@@ -180,7 +180,7 @@
         return this.#leadership !== undefined && (this.#member?.isServing ?? false);
     }
 
-    /** Opens the data folder, joins the group and starts to serve calls. */
+    /** Opens the data directory, joins the group and starts to serve calls. */
     async start(): Promise<void> {
         const { address, dataDir, bootstrap } = this.#options;
         const [host, port] = parseAddress(address);
--- a/control/leadership.ts
+++ b/control/leadership.ts
@@ -77,7 +77,7 @@
     readonly log: Logger;
 }
 
-/** The response to an operator's configuration. */
+/** The answer to an operator's configuration. */
 export type ConfigureAnswer =
     { readonly type: "acknowledged" } | { readonly type: "invalid"; readonly findings: string[] };
 
--- a/dispatch/_context.ts
+++ b/dispatch/_context.ts
@@ -128,7 +128,7 @@
      * Finds a queue, including a removed queue that still has open jobs.
      *
      * @param name The queue.
-     * @returns Its latest settings, or `undefined` if it is unknown.
+     * @returns Its latest configuration, or `undefined` if it is unknown.
      */
     findQueue(name: QueueName): QueueConfig | undefined {
         return this.stateStore.queues.get(name);
--- a/dispatch/_crash_isolation.ts
+++ b/dispatch/_crash_isolation.ts
@@ -25,10 +25,11 @@
 import { hasResourcesFor, NO_RESOURCES, type WorkerState } from "./worker_registry.ts";
 
 /**
- * Time after which a suspect is placed beside other tasks if no isolated worker was found, in ms.
+ * Time after which a suspect unit is placed beside other tasks if no isolated worker was found, in
+ * ms.
  */
 const MAX_ISOLATION_WAIT_MS = 3_000;
-/** One worker out of this many may be reserved for suspects; at least one always may. */
+/** One worker out of this many may be reserved for suspect units; at least one always may. */
 const WORKERS_PER_RESERVATION = 8;
 /** Minimum time between two extra polls of a worker, in ms. */
 const EXTRA_POLL_INTERVAL_MS = 250;
@@ -37,7 +38,7 @@
 export class CrashIsolation {
     readonly #context: DispatchContext;
     readonly #reservations = new Map<WorkerId, StepKey>();
-    /** Suspects that wait for a worker, by unit key. */
+    /** Suspect units that wait for a worker, by unit key. */
     readonly #waitingUnits = new Map<
         string,
         { readonly step: StepKey; readonly sinceMs: number }
@@ -96,7 +97,7 @@
      * Selects the candidates for units that are not suspected of crashing workers.
      *
      * @param candidates The candidates of the step.
-     * @returns The candidates that are neither reserved for suspects nor isolated.
+     * @returns The candidates that are neither reserved for suspect units nor isolated.
      */
     selectAvailable(candidates: readonly Candidate[]): readonly Candidate[] {
         return this.#reservations.size + this.#isolatedWorkers.size === 0
@@ -124,7 +125,7 @@
     }
 
     /**
-     * Selects workers for a suspect, or reserves one for it if none is available.
+     * Selects workers for a suspect unit, or reserves one for it if none is available.
      *
      * @param step The step.
      * @param unit The unit number.
@@ -158,7 +159,7 @@
         return chosen;
     }
 
-    /** Places a suspect on workers without recent starts, those with the fewest tasks first. */
+    /** Places a suspect unit on workers without recent starts, those with fewest tasks first. */
     #placeIsolated(step: ReadyStep, admitted: readonly Candidate[]): WorkerId[] | undefined {
         const eligible = this.#selectStable(admitted).filter(({ id }) => {
             const worker = this.#context.registry.findWorker(id);
@@ -179,7 +180,7 @@
 
     /**
      * Selects workers without recent crashes, unless most have crashed. A worker that crashes by
-     * its own fault is idle after each restart and would attract suspects.
+     * its own fault is idle after each restart and would attract suspect units.
      */
     #selectStable(candidates: readonly Candidate[]): readonly Candidate[] {
         const { registry, clock } = this.#context;
--- a/dispatch/_orders.ts
+++ b/dispatch/_orders.ts
@@ -24,7 +24,7 @@
     type WorkerState,
 } from "./worker_registry.ts";
 
-/** Pause of a step after a worker rejected its start as invalid, in ms. */
+/** Pause of a step after a worker refused its start as invalid, in ms. */
 const INVALID_START_PAUSE_MS = 1_000;
 
 /** The orders sent by one leader. */
@@ -235,7 +235,7 @@
     }
 
     /**
-     * Pauses the step, since every worker would reject the invalid start and it would be retried in
+     * Pauses the step, since every worker would refuse the invalid start and it would be retried in
      * a tight loop.
      */
     #setStepPause(member: MemberRun): void {
--- a/dispatch/crash_loop.ts
+++ b/dispatch/crash_loop.ts
@@ -19,7 +19,7 @@
 
 /** Time after its start within which a task may have caused its worker's crash, in ms. */
 export const STARTUP_CRASH_WINDOW_MS = 500;
-/** Crashes with no other suspect after which a unit is failed. */
+/** Crashes with no other suspect unit after which a unit is failed. */
 const MAX_SOLE_CRASHES = 2;
 /** Crashes with any evidence after which a unit is failed. */
 const MAX_CRASHES = 4;
--- a/dispatch/dispatcher.ts
+++ b/dispatch/dispatcher.ts
@@ -229,7 +229,7 @@
         if (state !== undefined && sequence <= state.lastSequence) {
             return;
         }
-        // Draining is final for a worker ID: a late heartbeat from before the drain must not bring
+        // Draining is final for a worker id: a late heartbeat from before the drain must not bring
         // new work to the worker.
         const isDraining = report.isDraining || (known?.isDraining ?? false);
         const { capacity: confirmed, unconfirmed } = mergeCapacity(
--- a/dispatch/ranking.ts
+++ b/dispatch/ranking.ts
@@ -32,7 +32,7 @@
  *
  * @param step The step.
  * @param queue Its queue.
- * @param wallTimeMs The current time, in ms since 1970.
+ * @param wallTimeMs The current time, in ms since the Unix epoch.
  * @returns The rank; the smallest goes first.
  */
 export function rankStep(
--- a/dispatch/ready_steps.ts
+++ b/dispatch/ready_steps.ts
@@ -32,7 +32,7 @@
     readonly queriedWorkers: Set<WorkerId>;
     /** Workers that may run the step, with their newest ticket and its expiry, in ms. */
     readonly admitted: Map<WorkerId, { readonly ticket: string; readonly validUntilMs: number }>;
-    /** IDs of the calls that are queued or in progress. */
+    /** Ids of the calls that are queued or in progress. */
     readonly pendingCalls: Set<number>;
     /** No further call is made before this time, in ms. */
     retryAtMs: number;
@@ -48,7 +48,7 @@
     readonly queue: QueueName;
     /** Units that wait for placement. */
     readonly waiting: Set<number>;
-    /** When the step became ready, in ms since 1970. */
+    /** When the step became ready, in ms since the Unix epoch. */
     readonly readyAtMs: number;
     readonly advice: StepAdvice;
     /**
@@ -71,7 +71,7 @@
     /** When one of its units last failed, in ms. */
     lastFailureAtMs: number;
     /**
-     * No unit is started before this time, in ms; set after a worker rejected a start as invalid.
+     * No unit is started before this time, in ms; set after a worker refused a start as invalid.
      */
     pausedUntilMs: number;
     /** Whether workers have crashed while running its units. */
--- a/dispatch/types.ts
+++ b/dispatch/types.ts
@@ -32,7 +32,7 @@
 export interface DispatchClock {
     /** Monotonic clock, in ms. */
     readonly getNow: () => number;
-    /** Wall clock in ms since 1970; does not go back across leaders. */
+    /** Wall clock in ms since the Unix epoch; does not go back across leaders. */
     readonly getWallTimeMs: () => number;
 }
 
@@ -87,7 +87,7 @@
     readonly isPerpetual: boolean;
     /** Whether it uses only CPU that other tasks leave idle. */
     readonly isFiller: boolean;
-    /** Response time objective of a serving task, in ms; 0 for none. */
+    /** Target for the tail latency of a serving task, in ms; 0 for none. */
     readonly targetMs: number;
     /** Newest reported load; see {@link RunningReport.load}. */
     load: number;
@@ -141,7 +141,7 @@
 /** A worker's answer to a start, stop or pace order. */
 export type OrderAnswer =
     | { readonly type: "accepted"; readonly clockMs: number | undefined }
-    /** The worker rejected the order. */
+    /** The worker refused the order. */
     | {
           readonly type: "refused";
           readonly reason: RefusalReason;
--- a/dispatch/worker_registry.ts
+++ b/dispatch/worker_registry.ts
@@ -276,7 +276,7 @@
     }
 
     /**
-     * Raises a worker's fencing token. Once the worker has seen the new token, it rejects all
+     * Raises a worker's fencing token. Once the worker has seen the new token, it refuses all
      * earlier orders that are still in flight.
      *
      * @param worker The worker.
--- a/entry/lease_dispatcher.ts
+++ b/entry/lease_dispatcher.ts
@@ -62,7 +62,7 @@
         return this.#clients.bytes;
     }
 
-    /** Clears all state on loss of leadership; the next leader resends unanswered offers. */
+    /** Clears all state on loss of leadership; the next leader resends unacknowledged offers. */
     close(): void {
         this.#lastHeartbeatSentAtMs.clear();
         this.#deferredGrants = [];
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Asks workers to stop tasks. If a stop is lost, the reply to a heartbeat that still lists the
-     * lease repeats it.
+     * Asks workers to stop tasks. If a stop is lost, the response to a heartbeat that still lists
+     * the lease repeats it.
      *
      * @param stops The leases to stop.
      */
--- a/front/daemon.ts
+++ b/front/daemon.ts
@@ -71,9 +71,9 @@
     /** No leader answered in time; the call was not executed. */
     | { readonly type: "unreached"; readonly retryAfterMs: number };
 
-/** Interval between two `hello` calls to the leader, in ms. */
+/** Interval between two hello messages to the leader, in ms. */
 const HELLO_INTERVAL_MS = 400;
-/** Timeout of a `hello` call, in ms; bounds how late a lost leader is detected. */
+/** Timeout of a hello message, in ms; bounds how late a lost leader is detected. */
 const HELLO_TIMEOUT_MS = 1_000;
 /**
  * Longest time without an answer from the leader for which the front reports ready, in ms. Covers
@@ -127,7 +127,7 @@
     #peersReceivedAtMs = Number.NEGATIVE_INFINITY;
     #isDraining = false;
     #limits: CallerLimits | undefined;
-    /** The address that the leader gave in its last `hello` answer; empty before the first one. */
+    /** The address that the leader gave in its last hello answer; empty before the first one. */
     #leaderAddress = "";
     readonly #replicaClients = new RpcClientPool({ timeoutMs: REPLICA_READ_TIMEOUT_MS });
     #replicas: readonly string[] = [];
@@ -175,7 +175,7 @@
         return this.#limits;
     }
 
-    /** Starts the RPC server and the periodic `hello` calls to the leader. */
+    /** Starts the RPC server and the periodic hello messages to the leader. */
     async start(): Promise<void> {
         const [host, port] = parseAddress(this.#options.address);
         this.#server = await startRpcServer({
--- a/front/leader_reachability.ts
+++ b/front/leader_reachability.ts
@@ -55,7 +55,7 @@
 
 /**
  * Time without an answer from the leader after which the peers are probed, in ms. Longer than the
- * interval of `hello` calls (400 ms) plus a busy leader's response time.
+ * interval of hello messages (400 ms) plus a busy leader's response time.
  */
 export const LEADER_TIMEOUT_MS = 600;
 
--- a/job/facts.ts
+++ b/job/facts.ts
@@ -69,12 +69,12 @@
     | { readonly type: "workerAnswered"; readonly worker: WorkerId }
     | { readonly type: "workerGone"; readonly worker: WorkerId }
     | { readonly type: "configurationSet"; readonly configuration: Configuration }
-    /** Jobs that ended before `before`, in ms since 1970, are removed. */
+    /** Jobs that ended before `before`, in ms since the Unix epoch, are removed. */
     | { readonly type: "jobsForgotten"; readonly before: number };
 
 /** Facts that are applied together, with the leader's timestamp. */
 export interface FactBatch {
-    /** Timestamp in ms since 1970; never decreases, also across leaders. */
+    /** Timestamp in ms since the Unix epoch; never decreases, also across leaders. */
     readonly at: number;
     readonly facts: readonly Fact[];
 }
--- a/job/state_store.ts
+++ b/job/state_store.ts
@@ -72,12 +72,12 @@
 
 /** Holds the replicated state and applies facts to it. */
 export class StateStore {
-    /** The latest timestamp of an applied batch, in ms since 1970. */
+    /** The latest timestamp of an applied batch, in ms since the Unix epoch. */
     lastBatchAtMs = 0;
     /** The configuration in force. */
     configuration: Configuration | undefined;
     /**
-     * The configured queues, and removed ones that still had jobs, with their latest settings.
+     * The configured queues, and removed ones that still had jobs, with their latest configuration.
      */
     readonly queues = new Map<QueueName, QueueConfig>();
     readonly jobs = new Map<JobId, Job>();
@@ -342,7 +342,7 @@
         this.#clearEndedJob(job);
     }
 
-    /** Frees the specification and the units of an ended job once no member can run any more. */
+    /** Frees the spec and the units of an ended job once no member can run any more. */
     #clearEndedJob(job: Job): void {
         if (job.endedAt !== undefined && !hasActiveMembers(job)) {
             job.spec = undefined;
@@ -425,7 +425,7 @@
 /**
  * Counts the occurrences of a job.
  *
- * @param job A job that still has its specification.
+ * @param job A job that still has its spec.
  * @returns The count, at least 1.
  */
 export function countOccurrences(job: Job): number {
@@ -436,7 +436,7 @@
  * Returns whether all units of a step are done.
  *
  * @param occurrence The occurrence.
- * @param stepIndex The step's index in the job's specification.
+ * @param stepIndex The step's index in the job's spec.
  * @returns True if every unit is done; false if the step does not exist.
  */
 export function isStepDone(occurrence: Occurrence, stepIndex: number): boolean {
--- a/job/types.ts
+++ b/job/types.ts
@@ -61,7 +61,7 @@
     readonly targetMs: number;
     /** The tasks are best-effort: they use leftover CPU and reserve none. */
     readonly isFiller: boolean;
-    /** Maximum number of perpetual tasks that the scheduler may evict at the same time. */
+    /** Maximum number of perpetual tasks that the scheduler may stop at the same time. */
     readonly maxAbsent: number;
 }
 
@@ -72,7 +72,7 @@
     readonly steps: readonly StepSpec[];
     /** Number of scheduled occurrences; 0 to run the steps once, immediately. */
     readonly repeats: number;
-    /** Due time of the first occurrence, in ms since 1970. */
+    /** Due time of the first occurrence, in ms since the Unix epoch. */
     readonly firstAtMs: number;
     /** Interval between two occurrences, in ms. */
     readonly periodMs: number;
@@ -138,10 +138,10 @@
     readonly pool: PoolName;
     /** Removed with the occurrences once the job has ended and no member can run any more. */
     spec: JobSpec | undefined;
-    /** When the job was accepted, in ms since 1970. */
+    /** When the job was accepted, in ms since the Unix epoch. */
     readonly acceptedAt: number;
     state: JobState;
-    /** When the job ended, in ms since 1970; `undefined` before that. */
+    /** When the job ended, in ms since the Unix epoch; `undefined` before that. */
     endedAt: number | undefined;
     readonly occurrences: Map<number, Occurrence>;
 }
--- a/load/cell_runner.ts
+++ b/load/cell_runner.ts
@@ -31,7 +31,7 @@
     readonly dir: string;
     /** The availability zones; one worker host is started for each. */
     readonly zones: readonly string[];
-    /** IDs of instances whose workers fail every task. */
+    /** Ids of instances whose workers fail every task. */
     readonly failing?: readonly string[];
 }
 
@@ -40,7 +40,7 @@
     /** The entry instances, in the format of the `--entry` option. */
     readonly entry: string;
     readonly logFiles: readonly string[];
-    /** Process IDs by process name, entry instances first. */
+    /** Process ids by process name, entry instances first. */
     readonly pids: ReadonlyMap<string, number>;
     /** Lists the statuses of the entry instances that respond. */
     readonly listStatuses: () => Promise<EntryStatus[]>;
--- a/load/cluster_runner.ts
+++ b/load/cluster_runner.ts
@@ -40,7 +40,7 @@
     readonly members: readonly ClusterMember[];
     /** The availability zones with workers; one worker host is started for each. */
     readonly workerZones: readonly string[];
-    /** IDs of instances whose workers fail every task. */
+    /** Ids of instances whose workers fail every task. */
     readonly failing?: readonly string[];
     /** The number of log entries between two snapshots. */
     readonly snapshotIntervalEntries?: number;
@@ -62,7 +62,7 @@
     readonly #children = new Map<string, ChildProcess>();
     readonly #addresses = new Map<string, string>();
     readonly #logFiles = new Set<string>();
-    /** When processes were killed, in ms since the epoch, by process name. */
+    /** When processes were killed, in ms since the Unix epoch, by process name. */
     readonly killedAtMs = new Map<string, number>();
 
     private constructor(options: ClusterOptions) {
@@ -95,7 +95,7 @@
     /**
      * Starts or restarts an entry instance.
      *
-     * @param id The ID of the entry instance.
+     * @param id The id of the entry instance.
      * @param bootstrap Whether the cell starts for the first time.
      * @throws {Error} When the process exits early or does not report its address in time.
      */
@@ -158,7 +158,7 @@
             .join(",");
     }
 
-    /** Process IDs by process name. */
+    /** Process ids by process name. */
     get pids(): ReadonlyMap<string, number> {
         return new Map([...this.#children].map(([id, child]) => [id, child.pid ?? 0]));
     }
@@ -204,7 +204,7 @@
     /**
      * Deletes the data directory of a killed entry instance, to simulate a replaced disk.
      *
-     * @param id The ID of the entry instance.
+     * @param id The id of the entry instance.
      */
     removeDataDir(id: string): void {
         rmSync(join(this.#options.dir, id), { recursive: true, force: true });
@@ -213,8 +213,8 @@
     /**
      * Returns whether an entry instance has a snapshot of a group on disk.
      *
-     * @param id The ID of the entry instance.
-     * @param group The ID of the group.
+     * @param id The id of the entry instance.
+     * @param group The id of the group.
      * @returns Whether the snapshot file exists.
      */
     hasSnapshot(id: string, group: string): boolean {
@@ -240,7 +240,7 @@
      * Sets the fault mode of the paths between an entry instance and all other entry instances
      * and workers. Outside callers still reach the instance.
      *
-     * @param id The ID of the entry instance.
+     * @param id The id of the entry instance.
      * @param mode The fault mode; `open` ends the isolation.
      */
     setInstancePathModes(id: string, mode: RelayMode): void {
@@ -264,7 +264,7 @@
     /**
      * Requests the status of an entry instance directly, without a relay.
      *
-     * @param id The ID of the entry instance.
+     * @param id The id of the entry instance.
      * @returns The status, or `undefined` when the instance does not respond.
      */
     async getStatus(id: string): Promise<EntryStatus | undefined> {
@@ -291,9 +291,9 @@
     /**
      * Finds the leader of a group.
      *
-     * @param group The ID of the group.
+     * @param group The id of the group.
      * @param excludedId An entry instance to skip, such as an isolated former leader.
-     * @returns The ID of the leader, or `undefined` when no instance serves the group.
+     * @returns The id of the leader, or `undefined` when no instance serves the group.
      */
     async findLeader(group: string, excludedId?: string): Promise<string | undefined> {
         const statuses = await this.listStatuses(excludedId);
--- a/load/process_stats.ts
+++ b/load/process_stats.ts
@@ -26,7 +26,7 @@
 /**
  * Reads the CPU time and resident memory of a process.
  *
- * @param pid The process ID.
+ * @param pid The process id.
  * @returns The resource usage; zeros when the process does not exist.
  */
 export function readProcessStats(pid: number): ProcessStats {
--- a/log/storage.ts
+++ b/log/storage.ts
@@ -71,11 +71,11 @@
     }
 
     /**
-     * Opens or creates the folder and stores the initial voters on the first start. Reading them
+     * Opens or creates the directory and stores the initial voters on the first start. Reading them
      * from the settings at each start could let members count different quorums and elect two
      * leaders in one term.
      *
-     * @param options The folder and the initial voters.
+     * @param options The directory and the initial voters.
      * @returns The storage; call {@link FileStorage.load} before any other method.
      */
     static open(options: FileStorageOptions): FileStorage {
@@ -250,7 +250,7 @@
 /**
  * Writes a file atomically and durably, replacing an existing one.
  *
- * @param dir The folder; created if it does not exist.
+ * @param dir The directory; created if it does not exist.
  * @param name The file name.
  * @param text The contents.
  */
--- a/log/types.ts
+++ b/log/types.ts
@@ -16,7 +16,7 @@
 export type GroupId = Brand<string, "GroupId">;
 
 /**
- * Identifies a member of a group by the instance's id and the incarnation of its data folder. An
+ * Identifies a member of a group by the instance's id and the incarnation of its data directory. An
  * instance that lost its disk rejoins as a new member, so it cannot vote twice in one term.
  */
 export type MemberId = Brand<string, "MemberId">;
--- a/membership/layout.ts
+++ b/membership/layout.ts
@@ -16,7 +16,7 @@
 import type { Brand, Inventory, ServiceId, ZoneId } from "../inventory/mod.ts";
 import type { ConsensusTimings, GroupId } from "../log/mod.ts";
 
-/** Id of an entry instance of the cluster. */
+/** Id of an entry instance of the cell. */
 export type EntryId = Brand<string, "EntryId">;
 
 /** Entry instance, as configured in the settings. */
@@ -36,7 +36,7 @@
     readonly voters?: readonly EntryId[];
 }
 
-/** Entry instances and groups of a cluster, as configured in the settings. */
+/** Entry instances and groups of a cell, as configured in the settings. */
 export interface Deployment {
     readonly members: readonly EntryMember[];
     /** Configured groups; every zone that is in none gets a group of its own. */
@@ -97,7 +97,7 @@
 const ID_SEPARATOR = ".";
 
 /**
- * Computes the layout of a cluster.
+ * Computes the layout of a cell.
  *
  * @param deployment The configured entry instances and groups.
  * @param inventory The zones, services and instances.
@@ -147,7 +147,7 @@
  *
  * @param layout The layout.
  * @param group The group.
- * @returns The prefix; empty in a cluster with a single group.
+ * @returns The prefix; empty in a cell with a single group.
  */
 export function createIdPrefix(layout: Layout, group: GroupLayout): string {
     return layout.groups.length === 1 ? "" : `${group.id}${ID_SEPARATOR}`;
--- a/rpc/http_rpc.ts
+++ b/rpc/http_rpc.ts
@@ -260,7 +260,7 @@
                         path: "/rpc",
                         agent: sharedAgent,
                         // The handler of this timeout destroys the socket, so that calls to a
-                        // frozen process don't exhaust the agent's sockets.
+                        // suspended process don't exhaust the agent's sockets.
                         timeout: state.timeoutMs,
                         headers: { "content-type": "application/json" },
                     },
--- a/standin/caller.ts
+++ b/standin/caller.ts
@@ -63,7 +63,7 @@
     /**
      * Cancels a request, retrying until a response arrives.
      *
-     * @param requestId The ID of the request.
+     * @param requestId The id of the request.
      * @returns The status of the request.
      * @throws {RpcError} When the cell rejects the call or does not respond in time.
      */
@@ -89,8 +89,8 @@
     /**
      * Waits until a request is final, with repeated long polls.
      *
-     * @param requestId The ID of the request.
-     * @param deadlineMs The time (ms since the epoch) after which the last status is returned,
+     * @param requestId The id of the request.
+     * @param deadlineMs The time (ms since the Unix epoch) after which the last status is returned,
      *   final or not.
      * @returns The last status.
      * @throws {RpcError} When no entry instance responds by the deadline.
--- a/standin/entry_client.ts
+++ b/standin/entry_client.ts
@@ -26,7 +26,7 @@
     type RpcClient,
 } from "../rpc/mod.ts";
 
-/** The ID and the address of an entry instance. */
+/** The id and the address of an entry instance. */
 export interface EntryAddress {
     readonly id: string;
     readonly address: string;
@@ -118,7 +118,7 @@
      *
      * @param method The method name.
      * @param params The parameters.
-     * @param deadlineMs When to stop retrying, in ms since the epoch.
+     * @param deadlineMs When to stop retrying, in ms since the Unix epoch.
      * @returns The result.
      * @throws {RpcError} The last error.
      */
--- a/standin/task_worker.ts
+++ b/standin/task_worker.ts
@@ -81,7 +81,7 @@
     isKilled = false;
 
     /**
-     * @param options The worker's ID, its capacity and the behaviour of its tasks.
+     * @param options The worker's id, its capacity and the behaviour of its tasks.
      */
     constructor(options: TaskWorkerOptions) {
         this.#options = options;
--- a/standin/worker_agent.ts
+++ b/standin/worker_agent.ts
@@ -53,7 +53,7 @@
     renewedAtMs: number;
 }
 
-/** The response to a lease offer. */
+/** The reply to a lease offer. */
 export interface GrantReply {
     readonly lease: LeaseId;
     /** `unknown`: the offer is for another incarnation, which may have run the task. */
--- a/telemetry/audit.ts
+++ b/telemetry/audit.ts
@@ -29,7 +29,10 @@
     /** Cores by instance. */
     readonly capacities: ReadonlyMap<string, number>;
     readonly outcomes: readonly ReportedOutcome[];
-    /** When worker processes were killed, in ms since 1970, by process; their tasks ended then. */
+    /**
+     * When worker processes were killed, in ms since the Unix epoch, by process; their tasks ended
+     * then.
+     */
     readonly killedAtMs?: ReadonlyMap<string, number>;
 }
 
--- a/telemetry/causes.ts
+++ b/telemetry/causes.ts
@@ -34,7 +34,7 @@
 
 /** The requests accepted in one time span. */
 export interface CauseRow {
-    /** In ms since 1970. */
+    /** In ms since the Unix epoch. */
     readonly spanStartMs: number;
     readonly accepted: number;
     /** Number of delayed or failed requests, by cause. */
--- a/telemetry/logger.ts
+++ b/telemetry/logger.ts
@@ -37,8 +37,8 @@
 }
 
 /**
- * Creates a JSON logger that adds the time in ms since 1970, the process and the availability zone
- * to each line.
+ * Creates a JSON logger that adds the time in ms since the Unix epoch, the process and the
+ * availability zone to each line.
  *
  * @param options The process, its zone and the destination.
  * @returns The logger.
--- a/telemetry/stages.ts
+++ b/telemetry/stages.ts
@@ -35,7 +35,7 @@
 /** The latencies of one queue's jobs that were accepted in one time span. */
 export interface StageRow {
     readonly queue: string;
-    /** In ms since 1970; the time of the first event if there is a single span. */
+    /** In ms since the Unix epoch; the time of the first event if there is a single span. */
     readonly spanStartMs: number;
     readonly jobs: number;
     /** Times from acceptance to each stage, in ms, ascending. */
@@ -144,7 +144,7 @@
     return spanMs === undefined ? firstMs : firstMs + Math.floor((t - firstMs) / spanMs) * spanMs;
 }
 
-/** Returns when a job reached each stage that its events show, in ms since 1970. */
+/** Returns when a job reached each stage that its events show, in ms since the Unix epoch. */
 function listStageTimes(requestEvents: readonly TimelineEvent[]): Map<Stage, number> {
     const times = new Map<Stage, number>();
     const advised = requestEvents.find(({ message }) => message === "advice received");
--- a/telemetry/timeline.ts
+++ b/telemetry/timeline.ts
@@ -12,7 +12,7 @@
 
 /** One event of the timeline. */
 export interface TimelineEvent {
-    /** In ms since 1970. */
+    /** In ms since the Unix epoch. */
     readonly t: number;
     readonly process: string;
     readonly zone: string;
