--- a/rpc/http_rpc.ts
+++ b/rpc/http_rpc.ts
@@ -58,7 +58,7 @@
 export interface RpcServer {
     /** The `host:port` that the server listens on. */
     readonly address: string;
-    /** Returns the number of requests in progress. */
+    /** Returns the number of requests in flight. */
     readonly inFlight: () => number;
     /** Returns the body bytes received and sent since the server started. */
     readonly bytes: () => { received: number; sent: number };
